--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -160,7 +160,7 @@
 
 /// # Panics
 /// After a panic while it was locked: decisions that are half made cannot be followed by sound ones.
-fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().expect("no panic while deciding")
 }
 
@@ -189,13 +189,13 @@
 
     /// From now on this share of what all balancers may do together holds.
     pub fn set_fleet_share(&self, share: LeasedFleetShare) {
-        locked(&self.mailbox).fleet_share = Some(share);
+        lock(&self.mailbox).fleet_share = Some(share);
     }
 
     fn decide(&self, now: Timestamp, handle: impl FnOnce(&mut Balancer<MailboxEffects>)) {
-        let mut balancer = locked(&self.balancer);
+        let mut balancer = lock(&self.balancer);
         let fleet_share = {
-            let mut mailbox = locked(&self.mailbox);
+            let mut mailbox = lock(&self.mailbox);
             mailbox.now = now;
             mailbox.fleet_share
         };
@@ -208,7 +208,7 @@
 
     /// Hands over a request. From now on it is owed a final answer.
     pub fn submit(&self, now: Timestamp, new: NewRequest) -> RequestId {
-        let request = locked(&self.mailbox).add_request();
+        let request = lock(&self.mailbox).add_request();
         let incoming = IncomingRequest {
             request,
             key: new.key,
@@ -226,7 +226,7 @@
     /// # Cancel safety
     /// A step that was not returned is returned by the next call. One task at a time may wait for a request.
     pub async fn next_step(&self, request: RequestId) -> NextStep {
-        poll_fn(|cx| locked(&self.mailbox).poll_next_step(request, cx)).await
+        poll_fn(|cx| lock(&self.mailbox).poll_next_step(request, cx)).await
     }
 
     /// Waits until the attempt is no longer wanted. It is still reported then.
@@ -235,7 +235,7 @@
     /// A cancellation is seen once, by the call that returns.
     pub async fn cancelled(&self, attempt: &Attempt) {
         let key = (attempt.request, attempt.number);
-        poll_fn(|cx| locked(&self.mailbox).poll_cancelled(key, cx)).await
+        poll_fn(|cx| lock(&self.mailbox).poll_cancelled(key, cx)).await
     }
 
     /// A check whether the attempt may still begin: it was not cancelled, and the decisions still want it.
@@ -243,8 +243,8 @@
         let dispatcher = self.clone();
         let (request, number) = (attempt.request, attempt.number);
         move |now| {
-            let is_cancelled = locked(&dispatcher.mailbox).is_cancelled((request, number));
-            !is_cancelled && locked(&dispatcher.balancer).may_begin(now, request, number)
+            let is_cancelled = lock(&dispatcher.mailbox).is_cancelled((request, number));
+            !is_cancelled && lock(&dispatcher.balancer).may_begin(now, request, number)
         }
     }
 
@@ -252,7 +252,7 @@
     /// that has been given.
     pub fn report_attempt(&self, now: Timestamp, attempt: Attempt, outcome: AttemptOutcome) -> bool {
         let Attempt { endpoint, request, number, decided_at } = attempt;
-        let is_undecided = locked(&self.mailbox).finish_attempt((request, number));
+        let is_undecided = lock(&self.mailbox).finish_attempt((request, number));
         let is_final = is_undecided && outcome == AttemptOutcome::Succeeded;
         let finished = FinishedAttempt {
             request,
@@ -282,7 +282,7 @@
 
     /// The client has gone, or has its final answer.
     pub fn report_client_gone(&self, now: Timestamp, request: RequestId) {
-        if locked(&self.mailbox).contains(request) {
+        if lock(&self.mailbox).contains(request) {
             self.decide(now, |balancer| balancer.on_request_abandoned(now, request));
             self.release(now, request);
         }
@@ -291,7 +291,7 @@
     /// Drops what nobody fetched of a request. Attempts among it are reported, or they would count as in
     /// flight for ever.
     fn release(&self, now: Timestamp, request: RequestId) {
-        let steps = locked(&self.mailbox).remove_request(request);
+        let steps = lock(&self.mailbox).remove_request(request);
         for step in steps {
             if let NextStep::Attempt(attempt) = step {
                 self.report_attempt(now, attempt, AttemptOutcome::NotSent);
@@ -302,7 +302,7 @@
     /// Waits until endpoints are to be asked for their load. Each is reported to
     /// [`Dispatcher::report_load_probe`] in the end.
     pub async fn load_probes_wanted(&self) -> Vec<EndpointId> {
-        poll_fn(|cx| locked(&self.mailbox).poll_load_probes(cx)).await
+        poll_fn(|cx| lock(&self.mailbox).poll_load_probes(cx)).await
     }
 
     /// Reports the load that an endpoint reported, or that it reported none.
@@ -319,19 +319,19 @@
             DiscoveryEvent::Error => balancer.on_discovery_error(now),
         });
         // Timers that these set, and that are due at once, go off with the next tick.
-        let due = locked(&self.mailbox).take_due_timers(now);
+        let due = lock(&self.mailbox).take_due_timers(now);
         self.decide(now, |balancer| due.into_iter().for_each(|timer| balancer.on_timer(now, timer)));
-        locked(&self.mailbox).schedule_next_tick()
+        lock(&self.mailbox).schedule_next_tick()
     }
 
     /// Waits until the next tick is wanted sooner than the last one said.
     pub async fn earlier_tick_wanted(&self) {
-        poll_fn(|cx| locked(&self.mailbox).earlier_tick.poll(cx)).await;
+        poll_fn(|cx| lock(&self.mailbox).earlier_tick.poll(cx)).await;
     }
 
     /// Waits until discovery is to be asked: at the start, and after a call that failed.
     pub async fn watch_wanted(&self) {
-        poll_fn(|cx| locked(&self.mailbox).watch.poll(cx)).await;
+        poll_fn(|cx| lock(&self.mailbox).watch.poll(cx)).await;
     }
 
     /// Peers report an endpoint as faulty, by evidence from `since` or later.
@@ -341,23 +341,23 @@
 
     /// Endpoints that are ejected or on probation.
     pub fn ejected_endpoints(&self) -> Vec<EjectedEndpoint> {
-        locked(&self.balancer).ejected_endpoints().collect()
+        lock(&self.balancer).ejected_endpoints().collect()
     }
 
     /// How many ready endpoints get no ordinary requests now.
     pub fn avoided_endpoints(&self, now: Timestamp) -> usize {
-        locked(&self.balancer).avoided_endpoints(now)
+        lock(&self.balancer).avoided_endpoints(now)
     }
 
     /// What is held for requests that are not over.
     pub fn pending_counts(&self) -> PendingCounts {
-        let undecided = locked(&self.balancer).request_count();
-        PendingCounts { undecided, ..locked(&self.mailbox).pending_counts() }
+        let undecided = lock(&self.balancer).request_count();
+        PendingCounts { undecided, ..lock(&self.mailbox).pending_counts() }
     }
 
     /// What the endpoints have shown by their own answers.
     pub fn evidence(&self) -> AnswerEvidence {
-        let mut balancer = locked(&self.balancer);
+        let mut balancer = lock(&self.balancer);
         let learned = balancer.learned_state();
         let has_answered =
             learned.endpoints.ready().filter(|(_, endpoint)| endpoint.answered.last().is_some());
@@ -370,13 +370,13 @@
 
     /// What was learned, as a text that the next process of this balancer may go on from.
     pub fn snapshot(&self, now: Timestamp) -> String {
-        let mut balancer = locked(&self.balancer);
+        let mut balancer = lock(&self.balancer);
         snapshot::write(now, &balancer.learned_state())
     }
 
     /// Goes on from what another process of this balancer has learned.
     pub fn restore(&self, now: Timestamp, text: &str) {
-        let mut balancer = locked(&self.balancer);
+        let mut balancer = lock(&self.balancer);
         snapshot::read(text, now, &mut balancer.learned_state());
     }
 }
@@ -390,23 +390,23 @@
 
 impl Effects for MailboxEffects {
     fn start_attempt(&mut self, request: RequestId, endpoint: EndpointId) {
-        locked(&self.mailbox).start_attempt(request, endpoint);
+        lock(&self.mailbox).start_attempt(request, endpoint);
     }
 
     fn cancel_attempt(&mut self, request: RequestId, attempt: AttemptNumber) {
-        locked(&self.mailbox).cancel_attempt((request, attempt));
+        lock(&self.mailbox).cancel_attempt((request, attempt));
     }
 
     fn reject(&mut self, request: RequestId, retry_after: Option<Ticks>) {
-        locked(&self.mailbox).put_step(request, NextStep::Reject { retry_after });
+        lock(&self.mailbox).put_step(request, NextStep::Reject { retry_after });
     }
 
     fn fail(&mut self, request: RequestId) {
-        locked(&self.mailbox).put_step(request, NextStep::Fail);
+        lock(&self.mailbox).put_step(request, NextStep::Fail);
     }
 
     fn set_timer(&mut self, at: Timestamp, timer: TimerId) {
-        locked(&self.mailbox).set_timer(at, timer);
+        lock(&self.mailbox).set_timer(at, timer);
     }
 
     fn close_idle_connections(&mut self, endpoint: EndpointId) {
@@ -414,11 +414,11 @@
     }
 
     fn watch_endpoints(&mut self) {
-        locked(&self.mailbox).request_watch();
+        lock(&self.mailbox).request_watch();
     }
 
     fn probe_load(&mut self, endpoint: EndpointId) {
-        locked(&self.mailbox).request_load_probe(endpoint);
+        lock(&self.mailbox).request_load_probe(endpoint);
     }
 
     fn fleet_limit_wait(&mut self, now: Timestamp, tenant: TenantId) -> Option<Ticks> {
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -177,11 +177,11 @@
     /// An attempt has finished, after `duration`.
     pub fn on_attempt_finished(&mut self, now: Timestamp, outcome: AttemptOutcome, duration: Ticks) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        if may_leave_work_behind(outcome) {
+        if may_leave_unfinished_work(outcome) {
             self.slow_start.unfinished_at = Some(now);
         }
-        let was_heard = outcome.is_response();
-        if was_heard {
+        let has_responded = outcome.is_response();
+        if has_responded {
             self.refuses_connections = outcome == AttemptOutcome::ConnectFailed;
             self.awaiting.since = None;
         }
@@ -189,14 +189,14 @@
             self.idle_since = now;
             self.last_duration = duration;
             self.awaiting = AwaitedResponse::default();
-        } else if was_heard {
+        } else if has_responded {
             self.awaiting.since = Some(now);
         }
     }
 }
 
 /// After an answer the endpoint has nothing left to do for an attempt, nor where it never got it.
-fn may_leave_work_behind(outcome: AttemptOutcome) -> bool {
+fn may_leave_unfinished_work(outcome: AttemptOutcome) -> bool {
     !matches!(
         outcome,
         AttemptOutcome::Succeeded
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,25 +1,25 @@
-//! Every decision of one balancer.
+//! All routing decisions of one balancer.
 //!
-//! Give [`Balancer::new`] the [`Settings`] and something that implements [`Effects`]; then call the one
-//! method for each event, in the order in which events happen. The balancer acts at once, through its
-//! effects, and keeps no clock of its own: each method is told the time. The same seed and the same events
-//! give the same actions.
+//! Create a [`Balancer`] from the [`Settings`] and an implementation of [`Effects`], then call the method
+//! that belongs to each event, in the order in which the events happen. The balancer acts immediately through
+//! its effects. It has no clock: every method receives the current time. The same seed and the same events
+//! produce the same actions.
 //!
-//! Each rule stands in the module that is named for it:
+//! Each module holds one group of rules:
 //!
 //! | module | decides |
 //! | --- | --- |
-//! | [`admission`] | whether a new request is taken at all |
-//! | [`routing`] | which pool a request belongs to by its content |
-//! | [`selection`] | which endpoint of a pool an attempt goes to |
-//! | [`load`] | when an endpoint is asked for its load, and what its load is taken for |
-//! | [`concurrency`] | how many attempts an endpoint gets at a time |
-//! | [`slow_start`] | what an endpoint gets that is warming up |
-//! | [`outliers`] | which endpoints are ejected, and how they come back |
-//! | [`outcomes`] | what a finished attempt says of its endpoint |
+//! | [`admission`] | whether a new request is accepted |
+//! | [`routing`] | which pool a request belongs to, by its cost and key |
+//! | [`selection`] | which endpoint of a pool receives an attempt |
+//! | [`load`] | when an endpoint is asked for its load, and which load is assumed for it |
+//! | [`concurrency`] | how many attempts an endpoint receives at a time |
+//! | [`slow_start`] | how much work an endpoint receives while it warms up |
+//! | [`outliers`] | which endpoints are ejected, and when they are used again |
+//! | [`outcomes`] | what a finished attempt shows about its endpoint |
 //! | [`retries`] | whether a request is sent again, and its final answer |
 //! | [`queue`] | which requests wait, in which order, and for how long |
-//! | [`discovery`] | what updates of the endpoint list mean, and when to ask again |
+//! | [`discovery`] | how updates of the endpoint list are applied, and when to ask again after an error |
 
 mod admission;
 mod concurrency;
@@ -47,25 +47,26 @@
 pub use outliers::EjectedEndpoint;
 pub use slow_start::SustainedWork;
 
-/// The timer that asks for the endpoint list again. A request's timer has the request's id, which is smaller.
+/// The timer for the next discovery call. A request's timer has the id of the request, which is always
+/// smaller.
 const WATCH_TIMER: TimerId = TimerId(1 << 32);
 
-const REQUEST_IS_KEPT: &str = "a request that waits or is being placed is kept";
+const REQUEST_EXISTS: &str = "a request that is waiting or being placed has an entry";
 
-/// The decisions of one balancer, and the state that they go by.
+/// Makes the routing decisions of one balancer and holds the state that they depend on.
 pub struct Balancer<E> {
     effects: E,
-    /// The configuration; the number of balancers may change later.
+    /// The configuration. The number of balancers can change at run time.
     pub settings: Settings,
     rng: Pcg,
     routes: RouteTable,
     endpoints: EndpointTable,
-    /// The listed endpoints of each pool, in ring order from this balancer's own start.
+    /// The listed endpoints of each pool in ring order, rotated to this balancer's own starting point.
     rings: Vec<Vec<RingEntry>>,
     /// Endpoints that are ejected or on probation.
     ejected: Vec<EndpointIndex>,
     requests: BTreeMap<RequestId, Request>,
-    /// Waiting requests, by descending weight, then by latency objective.
+    /// Waiting requests by descending weight, then by the time of their latency objective.
     queue: Vec<RequestId>,
     attempts_in_flight: u32,
     statistics: Statistics,
@@ -74,24 +75,24 @@
     sustained_work: SustainedWork,
     /// When any endpoint last responded.
     last_response_at: Option<Timestamp>,
-    /// Discovery calls that failed since the last update.
+    /// Discovery calls that have failed since the last update.
     discovery_errors: u32,
 }
 
-/// What a balancer has learned that its next process may use; see [`crate::snapshot`].
+/// State that the next process of this balancer can start from; see [`crate::snapshot`].
 pub struct LearnedState<'a> {
-    /// Which kind of endpoint is which pool.
+    /// Maps endpoint kinds to pools.
     pub routes: &'a RouteTable,
     /// Samples, cost estimates and past medians.
     pub statistics: &'a mut Statistics,
-    /// What slow start judges capacities by.
+    /// The work that warm endpoints complete, from which slow start estimates capacity.
     pub sustained_work: &'a mut SustainedWork,
-    /// With the work that was sent to each and answered.
+    /// The endpoints, each with the work that was sent to it and that it answered.
     pub endpoints: &'a mut EndpointTable,
 }
 
 impl<E: Effects> Balancer<E> {
-    /// A balancer that knows no endpoint yet. `seed` is where its random numbers begin.
+    /// Creates a balancer that knows no endpoints yet. `seed` initializes its random number generator.
     pub fn new(seed: u64, settings: Settings, mut effects: E) -> Self {
         if settings.discovery_polled {
             effects.watch_endpoints();
@@ -116,53 +117,53 @@
         }
     }
 
-    /// A complete list of endpoints has come.
+    /// Handles a complete endpoint list.
     pub fn on_endpoint_snapshot(&mut self, now: Timestamp, updates: &[EndpointUpdate]) {
         self.apply_snapshot(now, updates);
     }
 
-    /// Some endpoints have changed.
+    /// Handles changes of individual endpoints.
     pub fn on_endpoint_updates(&mut self, now: Timestamp, updates: &[EndpointUpdate]) {
         self.apply_updates(now, updates);
     }
 
-    /// A discovery call has failed.
+    /// Handles a failed discovery call.
     pub fn on_discovery_error(&mut self, now: Timestamp) {
         self.schedule_next_poll(now);
     }
 
-    /// A request has come. It gets exactly one final answer, unless its client gives it up first.
+    /// Handles a new request. It gets exactly one final answer unless its client abandons it first.
     pub fn on_request(&mut self, now: Timestamp, incoming: IncomingRequest) {
         self.admit(now, incoming);
     }
 
-    /// The request's client has gone, or its time is over.
+    /// Handles the loss of the request's client, or the end of its timeout.
     pub fn on_request_abandoned(&mut self, now: Timestamp, id: RequestId) {
         if self.requests.contains_key(&id) {
-            self.forget(id);
+            self.remove_request(id);
             self.serve_queue(now);
         }
     }
 
-    /// The request's time ends now. Its attempts are cancelled first: only then is it known whether any of
-    /// them began.
+    /// Ends the request's time now. The final answer waits until its attempts have been cancelled, because
+    /// only then is it known whether any of them was sent.
     pub fn expire_now(&mut self, now: Timestamp, id: RequestId) {
-        self.end_early(now, id);
+        self.expire_request(now, id);
     }
 
-    /// An attempt has begun to send a body that can be sent only once.
+    /// Records that an attempt has started to send a body that can be sent only once.
     pub fn on_stream_started(&mut self, _now: Timestamp, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.is_streaming = true;
         }
     }
 
-    /// A load probe has been answered, or has failed.
+    /// Handles the result of a load probe, or its failure.
     pub fn on_load_probe_finished(&mut self, now: Timestamp, result: LoadProbeResult) {
         self.record_load(now, result);
     }
 
-    /// A timer has gone off that was set through the effects.
+    /// Handles a timer that was set through the effects.
     pub fn on_timer(&mut self, now: Timestamp, timer: TimerId) {
         if timer == WATCH_TIMER {
             self.effects.watch_endpoints();
@@ -171,39 +172,39 @@
         }
     }
 
-    /// An attempt has finished, one way or another.
+    /// Handles the end of an attempt, whatever its outcome.
     pub fn on_attempt_finished(&mut self, now: Timestamp, finished: FinishedAttempt) {
         self.record_finished_attempt(now, &finished);
     }
 
-    /// Peers report an endpoint as faulty, by evidence from `since` or later.
+    /// Handles a report by peers that an endpoint is faulty, based on evidence from `since` or later.
     pub fn on_fault_report(&mut self, now: Timestamp, endpoint: EndpointId, since: Timestamp) {
         self.consider_fault_report(now, endpoint, since);
     }
 
-    /// Whether an attempt may still send its first byte: its request may be over, or the window for repeats,
-    /// since it was decided on.
+    /// Returns whether an attempt may still send its first byte. Since the decision to start it, its request
+    /// may have finished or the deduplication window may have passed.
     pub fn may_begin(&self, now: Timestamp, id: RequestId, attempt: AttemptNumber) -> bool {
         self.may_begin_attempt(now, id, attempt)
     }
 
-    /// How many requests have no final answer yet.
+    /// Returns the number of requests without a final answer.
     pub fn request_count(&self) -> usize {
         self.requests.len()
     }
 
-    /// How many ready endpoints get no ordinary requests now.
+    /// Returns the number of ready endpoints that currently get no ordinary requests.
     pub fn avoided_endpoints(&self, now: Timestamp) -> usize {
         let is_avoided = |endpoint| self.is_avoided(now, endpoint);
         self.endpoints.ready().filter(|(_, endpoint)| is_avoided(endpoint)).count()
     }
 
-    /// Endpoints that are ejected or on probation.
+    /// Lists the endpoints that are ejected or on probation.
     pub fn ejected_endpoints(&self) -> impl Iterator<Item = EjectedEndpoint> {
         self.list_ejected()
     }
 
-    /// What the next process of this balancer may go on from.
+    /// Returns the state that the next process of this balancer can start from.
     pub fn learned_state(&mut self) -> LearnedState<'_> {
         LearnedState {
             routes: &self.routes,
@@ -214,18 +215,18 @@
     }
 
     fn request(&self, id: RequestId) -> &Request {
-        self.requests.get(&id).expect(REQUEST_IS_KEPT)
+        self.requests.get(&id).expect(REQUEST_EXISTS)
     }
 
     fn request_mut(&mut self, id: RequestId) -> &mut Request {
-        self.requests.get_mut(&id).expect(REQUEST_IS_KEPT)
+        self.requests.get_mut(&id).expect(REQUEST_EXISTS)
     }
 
     fn set_request_timer(&mut self, at: Timestamp, id: RequestId) {
         self.effects.set_timer(at, TimerId(u64::from(id.0)));
     }
 
-    /// A wait of `ratio` to `ratio + spread` times `base`, at random.
+    /// Returns a random wait between `ratio` and `ratio + spread` times `base`.
     fn with_jitter(&mut self, base: Ticks, ratio: f64, spread: f64) -> Ticks {
         base.mul_f64(ratio + spread * self.rng.next_f64())
     }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,8 +1,10 @@
-//! Whether a new request is taken, in the order of `Balancer::admit`: requests whose time is over, hopeless
-//! ones under overload, load shedding, limits of the whole fleet. A tenant over its quota is not rejected, but
-//! loses weight. A new rule is one more condition there, and ends in `finish_unanswered` or `reject`.
+//! Decides whether a new request is accepted.
 //!
-//! No rejection is logged; the metrics count them as `deferred` by class.
+//! `Balancer::admit` checks the rules in order: an expired deadline, a hopeless request under overload, load
+//! shedding, and the limits of the whole fleet. A request beyond its tenant's quota is not rejected but gets
+//! less weight. To add a rule, add a condition there that ends in `finish_unanswered` or `reject`.
+//!
+//! Rejections are not logged; the metrics count them by class as `deferred`.
 
 use super::Balancer;
 use crate::effects::{AttemptOutcome, Effects, IncomingRequest};
@@ -11,30 +13,33 @@
 use crate::samples::WorkLog;
 use crate::settings::Settings;
 
-/// A request is hopeless whose client stays for less than this many times what it takes at the fastest pool.
+/// A request is hopeless if its remaining time is less than this multiple of its expected duration in the
+/// fastest pool.
 const HOPELESS_FACTOR: f64 = 1.5;
-/// What a timely answer adds to the admission probability, what any other leaves of it, and the least that it
-/// falls to.
+/// Step by which a timely answer raises the admission probability, factor by which a late answer, a rejection
+/// or a timeout lowers it, and its lower bound.
 const ADMISSION_INCREASE: f64 = 0.02;
 const ADMISSION_DECREASE_FACTOR: f64 = 0.85;
 const MIN_ADMISSION_PROBABILITY: f64 = 0.1;
-/// A cost estimate counts for at most this many times the timeout of its class: nothing larger is ever
-/// answered in time, and an absurd one would swamp all sums.
+/// Upper bound of a cost estimate, as a multiple of the class's timeout. A larger request is never answered
+/// in time, and an absurd estimate would distort every sum that it enters.
 const MAX_COST_TIMEOUTS: f64 = 100.0;
-/// A tenant's quota is counted over at least this many requests. Rounded up for each second, the shares of
-/// hundreds of balancers would come to several times the quota.
+/// A tenant's quota is counted over a window of at least this many requests. With each balancer's share
+/// rounded up every second, hundreds of balancers would together admit several times the quota.
 const MIN_QUOTA_REQUESTS: f64 = 8.0;
-/// Of the wait that the fleet's limits suggest: the shortest retry-after, and how much more it may be.
+/// The shortest retry-after and the width of its random range, as fractions of the wait that the fleet's
+/// limits suggest.
 const RETRY_AFTER_RATIO: f64 = 0.75;
 const RETRY_AFTER_SPREAD: f64 = 0.5;
 
-/// What admission goes by.
+/// State of the admission rules.
 pub(super) struct AdmissionState {
-    /// The fraction of requests that is admitted where overload can only be seen by its results, in 0..=1.
+    /// The fraction of requests that is admitted while no loads are known and only late answers, rejections
+    /// and timeouts show overload, in 0..=1.
     probability: f64,
     /// When a request last had to wait or was shed.
     pub(super) overloaded_at: Option<Timestamp>,
-    /// Requests of each tenant that counted against its quota.
+    /// Requests of each tenant that were counted against its quota.
     tenant_requests: Vec<WorkLog>,
 }
 
@@ -44,8 +49,8 @@
         AdmissionState { probability: 1.0, overloaded_at: None, tenant_requests }
     }
 
-    /// Adapts the admission probability: additive increase with timely answers, multiplicative decrease with
-    /// late ones, rejections and timeouts. Other outcomes say nothing of load.
+    /// Adjusts the admission probability: additive increase on timely answers, multiplicative decrease on
+    /// late answers, rejections and timeouts. Other outcomes carry no information about load.
     pub(super) fn on_outcome(&mut self, outcome: AttemptOutcome, is_timely: bool) {
         match outcome {
             AttemptOutcome::Succeeded if is_timely => {
@@ -61,10 +66,10 @@
 }
 
 impl<E: Effects> Balancer<E> {
-    /// Takes a request, or gives its final answer at once.
+    /// Accepts a request or gives its final answer immediately.
     pub(super) fn admit(&mut self, now: Timestamp, incoming: IncomingRequest) {
         let id = incoming.request;
-        let request = self.describe(now, incoming);
+        let request = self.build_request(now, incoming);
         let deadline = request.deadline;
         let cost = request.cost;
         self.requests.insert(id, request);
@@ -82,15 +87,15 @@
             let wait = self.with_jitter(wait, RETRY_AFTER_RATIO, RETRY_AFTER_SPREAD);
             return self.reject(id, Some(wait));
         }
-        // Waiting requests go first; this one may have what they cannot use.
+        // Waiting requests take precedence; the new one can use capacity that none of them fits.
         self.serve_queue(now);
         if !self.try_place(now, id) {
             self.enqueue(now, id);
         }
     }
 
-    /// The request with its cost, objective and weight.
-    fn describe(&mut self, now: Timestamp, incoming: IncomingRequest) -> Request {
+    /// Adds the request's cost, latency objective and priority weight.
+    fn build_request(&mut self, now: Timestamp, incoming: IncomingRequest) -> Request {
         let class = self.settings.class(incoming.class);
         let cost_estimate = incoming.cost_estimate.unwrap_or_else(|| self.statistics.mean_cost());
         let cost = cost_estimate.min(MAX_COST_TIMEOUTS * class.timeout.as_secs_f64());
@@ -103,12 +108,12 @@
         if let Some(estimate) = incoming.cost_estimate {
             self.statistics.cost_estimates.record(estimate, self.routes.small_pool_ratio);
         }
-        self.earn_probe_credit();
+        self.add_probe_credit();
         let objective_at = (now + objective).min(now + incoming.timeout);
         Request::new(now, incoming, cost, objective_at, priority_weight)
     }
 
-    /// Whether a tenant is within this balancer's share of its quota; if so, the request is counted.
+    /// Returns whether a tenant is within this balancer's share of its quota, and counts the request if so.
     fn is_within_quota(&mut self, now: Timestamp, tenant: TenantId) -> bool {
         let tenant = usize::from(tenant.0);
         let Some(quota) = self.settings.tenant_quotas.get(tenant) else { return true };
@@ -123,20 +128,22 @@
         is_within
     }
 
-    /// Whether a request can hardly be answered while its client stays. `cost` is in core seconds.
+    /// Returns whether a request is unlikely to finish in the time left. `cost` is in core seconds.
     fn is_hopeless(&self, time_left: Ticks, cost: f64) -> bool {
         let fastest = self.statistics.fastest_service_time();
         fastest.is_some_and(|service_time| service_time * cost * HOPELESS_FACTOR > time_left.as_secs_f64())
     }
 
-    /// Sheds load at random where endpoints' queues fill up unseen: some requests in time are better than all
-    /// of them late.
+    /// Decides at random whether to shed the request, where neither load reports nor a queue of this balancer
+    /// show how full endpoints are. Answering some requests in time is better than answering all of them
+    /// late.
     fn is_shed(&mut self) -> bool {
         let is_load_unknown = self.uses_whole_pools() && !self.probes_load();
         is_load_unknown && self.rng.next_f64() > self.admission.probability
     }
 
-    /// Whether requests wait, or did within a typical attempt's duration.
+    /// Returns whether requests are waiting, or had to wait or were shed within the last 90th percentile of
+    /// attempt durations.
     pub(super) fn is_overloaded(&self, now: Timestamp) -> bool {
         let overloaded_at = self.admission.overloaded_at;
         let was_overloaded = overloaded_at.is_some_and(|at| now - at < self.statistics.p90_duration());
--- a/src/policy/concurrency.rs
+++ b/src/policy/concurrency.rs
@@ -1,8 +1,8 @@
-//! How many attempts an endpoint gets at a time.
+//! Limits how many attempts an endpoint receives at a time.
 //!
-//! Each endpoint has one limit for all balancers together, adapted by additive increase and multiplicative
-//! decrease (AIMD). A balancer keeps to its share of it; a share under one attempt is kept as a share of the
-//! time, by pacing.
+//! Each endpoint has one concurrency limit for all balancers together, adjusted by additive increase and
+//! multiplicative decrease (AIMD). A balancer uses only its share of the limit. A share of less than one
+//! attempt is enforced by pacing: attempts then fill only that fraction of the time.
 
 use super::Balancer;
 use crate::effects::Effects;
@@ -10,41 +10,46 @@
 use crate::ids::{Ticks, Timestamp};
 use crate::route_table::PoolIndex;
 
-/// What all balancers together may always have at an endpoint: less would leave cores idle.
+/// Lower bound of the limit for all balancers together. A lower one would leave cores idle.
 pub(super) const MIN_LIMIT: f64 = 5.0;
-/// What a decrease leaves of a limit: less leaves endpoints idle, more lets congestion stand.
+/// Factor by which a decrease lowers the limit. A smaller factor leaves endpoints idle; a larger one lets
+/// congestion persist.
 const DECREASE_FACTOR: f64 = 0.8;
-/// An endpoint is congested whose last answers took this many times what their cost explains. One that holds
-/// many requests does less work, and another pool or the queue has a better use for the request.
+/// An endpoint is congested if its last answers took this multiple of the time that their cost explains. An
+/// endpoint with many concurrent requests completes less work, so another pool or the queue is a better place
+/// for the request.
 const CONGESTION_FACTOR: f64 = 1.1;
-/// Before the first answer: the part of the shortest latency objective that an attempt is taken to last.
+/// The assumed duration of an attempt before the first answer, as a fraction of the shortest latency
+/// objective.
 const INITIAL_DURATION_RATIO: f64 = 0.25;
 
 impl<E: Effects> Balancer<E> {
-    /// This balancer's share of an endpoint's limit, in attempts.
+    /// Returns this balancer's share of an endpoint's limit, in attempts.
     pub(super) fn limit_share(&self, endpoint: &Endpoint) -> f64 {
         endpoint.limit.value / self.balancers_per_endpoint(endpoint.pool)
     }
 
-    /// This balancer's shares of all endpoints that it uses in a pool, together.
+    /// Returns the sum of this balancer's shares over all endpoints that it uses in a pool.
     fn pool_limit_share(&self, pool: PoolIndex) -> f64 {
         self.subset(pool).map(|entry| self.limit_share(&self.endpoints[entry.index])).sum()
     }
 
-    /// Whether the pool may get one more attempt. The shares of a pool's endpoints are rounded up once, all
-    /// together: hundreds of balancers that each round up every share would exceed the limits many times.
-    pub(super) fn has_room(&self, pool: PoolIndex) -> bool {
+    /// Returns whether the pool may receive one more attempt. Only the sum of the endpoints' shares is
+    /// rounded up: if hundreds of balancers each rounded up every share, they would exceed the limits many
+    /// times over.
+    pub(super) fn pool_has_capacity(&self, pool: PoolIndex) -> bool {
         let in_flight: u32 = self.subset(pool).map(|entry| self.endpoints[entry.index].in_flight).sum();
         f64::from(in_flight) < self.pool_limit_share(pool).max(1.0)
     }
 
-    /// Whether the endpoint's own limit allows this balancer one more attempt.
+    /// Returns whether the endpoint's own limit allows this balancer one more attempt.
     pub(super) fn is_within_limit(&self, endpoint: &Endpoint) -> bool {
         f64::from(endpoint.in_flight) < self.limit_share(endpoint).max(1.0)
     }
 
-    /// When the pool may get its next attempt, where this balancer's share is under one. Counted from the
-    /// last attempt's end, and by what that one took, or the mean if that is longer.
+    /// Returns when the pool may receive its next attempt if this balancer's share is less than one. The
+    /// pause starts at the end of the last attempt and is based on that attempt's duration or the mean,
+    /// whichever is longer.
     pub(super) fn paced_until(&self, pool: PoolIndex) -> Timestamp {
         let endpoints = self.subset(pool).map(|entry| &self.endpoints[entry.index]);
         let Some(last) = endpoints.max_by_key(|endpoint| endpoint.idle_since) else {
@@ -54,15 +59,15 @@
         last.idle_since + pacing_interval(busy_time, self.pool_limit_share(pool), self.settings.max_timeout())
     }
 
-    /// The same for probe requests to one endpoint: without it those of hundreds of balancers alone would
-    /// keep it unhealthy.
+    /// Returns the same for probe requests to one endpoint. Without this pause, the probe requests of
+    /// hundreds of balancers alone would keep the endpoint unhealthy.
     pub(super) fn probe_paced_until(&self, endpoint: &Endpoint) -> Timestamp {
         let busy_time = self.typical_duration(endpoint.pool).max(endpoint.last_duration);
         let share = self.limit_share(endpoint);
         endpoint.idle_since + pacing_interval(busy_time, share, self.settings.max_timeout())
     }
 
-    /// The mean duration of an attempt in the pool.
+    /// Returns the mean duration of an attempt in the pool.
     pub(super) fn typical_duration(&self, pool: PoolIndex) -> Ticks {
         match self.statistics.service_times(pool) {
             Some(service_times) => service_times.mean,
@@ -70,7 +75,7 @@
         }
     }
 
-    /// Whether the endpoint's last answers took longer than their cost explains.
+    /// Returns whether the endpoint's last answers took longer than their cost explains.
     pub(super) fn is_congested(&self, index: EndpointIndex) -> bool {
         let mut measured_secs = 0.0;
         let mut expected_secs = 0.0;
@@ -81,9 +86,9 @@
         measured_secs > CONGESTION_FACTOR * expected_secs
     }
 
-    /// Raises the limit by one for all balancers together in each round of answers: each of ten raising it by
-    /// one would overshoot by ten. Before the first decrease it grows faster, or an endpoint that has warmed
-    /// up would stay idle.
+    /// Raises the limit by one per round of answers for all balancers together: if each of ten balancers
+    /// raised it by one, they would overshoot by ten. The limit grows faster before its first decrease,
+    /// because an endpoint that has just warmed up would otherwise stay idle.
     pub(super) fn increase_limit(&mut self, index: EndpointIndex) {
         let balancers = self.balancers_per_endpoint(self.endpoints[index].pool);
         let limit = &mut self.endpoints[index].limit;
@@ -91,8 +96,9 @@
         limit.value += step / (limit.value / balancers).max(1.0);
     }
 
-    /// Lowers the limit, once for all attempts that were in flight then: they say nothing of the lower limit.
-    /// `duration` is that of the attempt that shows the congestion.
+    /// Lowers the limit, at most once for all attempts that were in flight at the last decrease, because they
+    /// say nothing about the lower limit. `duration` is the duration of the attempt that shows the
+    /// congestion.
     pub(super) fn decrease_limit(&mut self, now: Timestamp, index: EndpointIndex, duration: Ticks) {
         let balancers = self.balancers_per_endpoint(self.endpoints[index].pool);
         let endpoint = &mut self.endpoints[index];
@@ -107,8 +113,8 @@
     }
 }
 
-/// The pause after an attempt that lasted `busy_time`, so that attempts fill `share` (0..1) of the time.
-/// Never longer than `max_pause`: then nobody would learn that congestion is over.
+/// Returns the pause after an attempt of `busy_time` that makes attempts fill `share` (0..1) of the time. The
+/// pause is at most `max_pause`; after a longer one the balancer would not notice that congestion has ended.
 fn pacing_interval(busy_time: Ticks, share: f64, max_pause: Ticks) -> Ticks {
     let pause = busy_time.mul_f64((1.0 / share - 1.0).max(0.0));
     pause.min(max_pause)
--- a/src/policy/discovery.rs
+++ b/src/policy/discovery.rs
@@ -1,4 +1,4 @@
-//! What updates of the endpoint list mean, and when to ask for it again after an error.
+//! Applies updates of the endpoint list and schedules the next discovery call after an error.
 
 use super::{Balancer, WATCH_TIMER, concurrency};
 use crate::effects::{Effects, EndpointStatus, EndpointUpdate};
@@ -6,16 +6,16 @@
 use crate::ids::{Ticks, Timestamp};
 use crate::settings::{DiscoveryTiming, Settings};
 
-/// Of the longest backoff: the shortest wait after a first error, and after further ones. The longest is
-/// twice that.
+/// The shortest wait after the first error and after later ones, as fractions of the longest backoff. Jitter
+/// adds up to the same amount again.
 const FIRST_BACKOFF_RATIO: f64 = 0.25;
 const BACKOFF_RATIO: f64 = 0.5;
-/// The fractional part of the golden ratio, as a fraction of 2^64. Starts that are this far apart lie evenly
-/// on a ring, whichever run of balancers is looked at.
+/// The fractional part of the golden ratio, as a fraction of 2^64. Multiples of it are spread evenly over a
+/// ring for any consecutive range of balancer indices.
 const GOLDEN_RATIO_FRACTION: u64 = 0x9e37_79b9_7f4a_7c15;
 
 impl<E: Effects> Balancer<E> {
-    /// An endpoint that a complete snapshot leaves out has been removed.
+    /// Applies a complete snapshot: endpoints that are not in it have been removed.
     pub(super) fn apply_snapshot(&mut self, now: Timestamp, updates: &[EndpointUpdate]) {
         let only_draining_binds = self.settings.only_draining_binds;
         for endpoint in self.endpoints.iter_mut() {
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Drops endpoints that are gone. What one was sent recently still counts against its warm-up budget,
-    /// should it come back.
+    /// Evicts endpoints that were removed. The row of a removed endpoint is kept while recent attempts still
+    /// count against its warm-up budget, in case the endpoint returns.
     fn evict_removed(&mut self, now: Timestamp) {
         let retention = self.settings.slow_start.warm_up_time.max(self.settings.max_timeout());
         let recent = now - retention;
@@ -74,7 +74,7 @@
         self.ejected.retain(|index| endpoints.contains(*index));
     }
 
-    /// Each balancer begins at a place of its own on every ring, so that endpoints are shared evenly among
+    /// Rotates every ring to this balancer's own starting point, so that endpoints are divided evenly among
     /// balancers.
     fn rebuild_rings(&mut self) {
         self.rings = self.endpoints.rings(self.routes.pool_count());
@@ -94,11 +94,11 @@
     }
 }
 
-/// How long to wait after the `errors`-th discovery error in a row; `jitter` in 0..1.
+/// Returns the wait after the `errors`-th discovery error in a row; `jitter` is in 0..1.
 ///
-/// All balancers call one small service after a fault, so each waits for a time of its own. The wait stays
-/// well within the time in which a change becomes binding; a balancer that knows no endpoint waits no longer
-/// than requests live.
+/// After a fault all balancers call one small service, so the wait differs from balancer to balancer. It
+/// stays well within the time after which a change becomes binding. A balancer without endpoints waits at
+/// most half of the longest request timeout.
 fn poll_backoff(settings: &Settings, errors: u32, has_endpoints: bool, jitter: f64) -> Ticks {
     let mut longest = DiscoveryTiming::MAX_BACKOFF.min(settings.max_poll_interval.mul_f64(0.5));
     if !has_endpoints {
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -1,4 +1,4 @@
-//! Load probes: when an endpoint is asked for its load, and what its load is taken for.
+//! Load probes: when to ask an endpoint for its load, and which load to assume for it.
 
 use super::Balancer;
 use crate::effects::{Effects, LoadProbeResult};
@@ -7,21 +7,23 @@
 use crate::request::Request;
 use crate::settings::Settings;
 
-/// Probes for one request in a row: two for the endpoints sampled, and two more should these have no room.
+/// The most probes for one request in a row: two for the sampled endpoints, and two more if those have no
+/// capacity.
 const MAX_PROBES_PER_REQUEST: u8 = 4;
-/// For this part of the shortest latency objective a load counts as known, and a request waits for a probe.
+/// A reported load is valid, and a request waits for a probe, for this fraction of the shortest latency
+/// objective.
 const LOAD_VALIDITY_RATIO: f64 = 0.05;
-/// The shortest such time, where an objective is next to nothing.
+/// The lower bound of that time, for objectives close to zero.
 const MIN_LOAD_VALIDITY: Ticks = Ticks(10);
-/// What may be spent on probes, as a part of all priority weight.
+/// The fraction of all priority weight that may be spent on probes.
 const PROBE_SPENDING_RATIO: f64 = 0.025;
-/// Probes that may be saved up, for when they find endpoints full.
+/// The most probes that can be saved up for times when probes find endpoints full.
 const MAX_PROBE_CREDIT: f64 = 16.0;
 
-/// Probes that the requests so far have paid for.
+/// Tracks how many probes can be sent, by the credit that requests have added.
 pub(super) struct ProbeBudget {
     credit: f64,
-    /// For how long a reported load counts as known.
+    /// How long a reported load is valid.
     pub(super) load_validity: Ticks,
 }
 
@@ -33,19 +35,19 @@
 }
 
 impl<E: Effects> Balancer<E> {
-    /// Probes that each request pays for.
+    /// Returns the probe credit that each request adds.
     fn probes_per_request(&self) -> f64 {
         let has_reports = self.settings.load_report_field.is_some();
         if has_reports { PROBE_SPENDING_RATIO / self.settings.probe_cost_ratio } else { 0.0 }
     }
 
-    /// Whether endpoints are asked for their load: they report it, and a probe for each request can be paid
-    /// for.
+    /// Returns whether load probes are used: endpoints report their load, and the budget covers at least one
+    /// probe for each request.
     pub(super) fn probes_load(&self) -> bool {
         self.probes_per_request() >= 1.0
     }
 
-    pub(super) fn earn_probe_credit(&mut self) {
+    pub(super) fn add_probe_credit(&mut self) {
         let credit = self.probe_budget.credit + self.probes_per_request();
         self.probe_budget.credit = credit.min(MAX_PROBE_CREDIT);
     }
@@ -55,8 +57,8 @@
         reported.is_some_and(|reported| now - reported.at <= self.probe_budget.load_validity)
     }
 
-    /// Requests in flight at an endpoint: as it reported last and what was sent to it since, or else those of
-    /// this balancer.
+    /// Returns the requests in flight at an endpoint: the last valid report plus the attempts sent since, or
+    /// else this balancer's own attempts.
     pub(super) fn load(&self, now: Timestamp, endpoint: &Endpoint) -> f64 {
         let own = f64::from(endpoint.in_flight);
         let reported = endpoint.load.reported.filter(|_| self.is_load_known(now, endpoint));
@@ -65,8 +67,8 @@
         own.max(reported.in_flight + sent_since as f64)
     }
 
-    /// Whether a probe of the endpoint can serve this request: one is out already, or the request may still
-    /// pay for one.
+    /// Returns whether this request can use a probe of the endpoint: one is in flight already, or the request
+    /// may still send one.
     pub(super) fn can_probe(&self, request: &Request, endpoint: &Endpoint) -> bool {
         let has_probes_left = request.load_probes.sent < MAX_PROBES_PER_REQUEST;
         let is_affordable = has_probes_left && self.probe_budget.credit >= 1.0;
@@ -74,21 +76,21 @@
         self.probes_load() && request.attempts.is_empty() && is_possible
     }
 
-    /// The endpoint's load is not known, and the request can't learn it any more.
-    pub(super) fn is_load_unknowable(&self, now: Timestamp, request: &Request, endpoint: &Endpoint) -> bool {
+    /// Returns whether the endpoint's load is unknown and the request can no longer learn it.
+    pub(super) fn is_load_unavailable(&self, now: Timestamp, request: &Request, endpoint: &Endpoint) -> bool {
         let is_unknown =
             self.probes_load() && !self.is_load_known(now, endpoint) && !self.can_probe(request, endpoint);
         let has_used_probes = request.load_probes.sent >= MAX_PROBES_PER_REQUEST;
         is_unknown && (has_used_probes || self.is_overloaded(now))
     }
 
-    /// A probe has been out for longer than a request waits for one.
+    /// Returns whether a probe has been in flight for longer than a request waits for one.
     pub(super) fn ignores_probes(&self, now: Timestamp, endpoint: &Endpoint) -> bool {
         let sent_at = endpoint.load.probe_sent_at;
         sent_at.is_some_and(|sent_at| now - sent_at >= self.probe_budget.load_validity)
     }
 
-    /// Probes an endpoint that was chosen for a request while its load is not known. True where the request
+    /// Probes the endpoint that was chosen for a request if its load is unknown. Returns true if the request
     /// waits for the load.
     pub(super) fn probe_if_unknown(&mut self, now: Timestamp, id: RequestId, index: EndpointIndex) -> bool {
         let endpoint = &self.endpoints[index];
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -1,4 +1,4 @@
-//! What a finished attempt says of its endpoint, and what follows for its request.
+//! Updates the state of an endpoint by the outcome of an attempt, and continues or finishes the request.
 
 use super::Balancer;
 use super::outliers::EjectionCause;
@@ -7,7 +7,7 @@
 use crate::ids::{Ticks, Timestamp};
 use crate::statistics::Sample;
 
-/// After a slow or unanswered attempt the endpoint gets none for this many times as long as that took.
+/// The pause of an endpoint after a slow or unanswered attempt, as a multiple of the attempt's duration.
 const SLOW_ATTEMPT_PAUSE_FACTOR: f64 = 2.0;
 
 impl<E: Effects> Balancer<E> {
@@ -17,7 +17,7 @@
         let request = self.requests.get(&finished.request);
         let is_timely = request.is_some_and(|request| now <= request.objective_at);
         self.admission.on_outcome(finished.outcome, is_timely);
-        self.judge_endpoint(now, index, finished);
+        self.apply_outcome(now, index, finished);
         self.endpoints[index].on_attempt_finished(now, finished.outcome, finished.duration);
         if finished.outcome.is_response() {
             self.last_response_at = Some(now);
@@ -28,12 +28,12 @@
         self.serve_queue(now);
     }
 
-    fn judge_endpoint(&mut self, now: Timestamp, index: EndpointIndex, finished: &FinishedAttempt) {
+    fn apply_outcome(&mut self, now: Timestamp, index: EndpointIndex, finished: &FinishedAttempt) {
         match finished.outcome {
-            AttemptOutcome::Succeeded => self.judge_answer(now, index, finished),
+            AttemptOutcome::Succeeded => self.record_answer(now, index, finished),
             AttemptOutcome::ErrorAnswer => self.record_failure(now, index, EjectionCause::ErrorAnswer),
             AttemptOutcome::ConnectionReset => {
-                self.record_failure(now, index, EjectionCause::ConnectionBroken);
+                self.record_failure(now, index, EjectionCause::ConnectionReset);
             }
             AttemptOutcome::ConnectFailed => {
                 self.eject(now, index, Ticks::ZERO, EjectionCause::ConnectFailed);
@@ -43,8 +43,8 @@
                 self.decrease_limit(now, index, finished.duration);
             }
             AttemptOutcome::TimedOut => {
-                // Its duration counts: under congestion only the quick answers come back, and would pass for
-                // all of them.
+                // A timed-out attempt counts as a sample: under congestion only fast answers arrive, and
+                // without it they would be taken for the typical duration.
                 self.record_sample(now, index, finished);
                 self.pause_slow_endpoint(now, index, finished.duration);
                 self.decrease_limit(now, index, finished.duration);
@@ -55,7 +55,7 @@
         }
     }
 
-    fn judge_answer(&mut self, now: Timestamp, index: EndpointIndex, finished: &FinishedAttempt) {
+    fn record_answer(&mut self, now: Timestamp, index: EndpointIndex, finished: &FinishedAttempt) {
         self.statistics.record_outcome(now, index, false);
         let Some(cost) = self.record_sample(now, index, finished) else { return };
         let timeout = self.attempt_timeout(self.endpoints[index].pool, cost);
@@ -68,7 +68,8 @@
         if self.is_congested(index) {
             self.decrease_limit(now, index, finished.duration);
         } else if self.is_overloaded(now) {
-            // Where nothing waits a limit would grow until it keeps nothing away under congestion.
+            // The limit grows only while requests wait. Otherwise it would grow until it no longer limits
+            // anything when congestion begins.
             self.increase_limit(index);
         }
     }
@@ -77,8 +78,8 @@
         self.endpoints[index].overloaded_until = now + duration.mul_f64(SLOW_ATTEMPT_PAUSE_FACTOR);
     }
 
-    /// Records how long the attempt took, and returns its request's cost in core seconds; `None` where the
-    /// request is not kept any more.
+    /// Records the duration of the attempt and returns the cost of its request in core seconds, or `None` if
+    /// the request has already finished.
     fn record_sample(
         &mut self,
         now: Timestamp,
@@ -102,7 +103,8 @@
         Some(cost)
     }
 
-    /// The attempt's request is over, goes on with another attempt, or has one in flight still.
+    /// Marks the attempt as finished. If the request is not finished and has no other attempt in flight, it
+    /// is retried or gets its final answer.
     fn continue_request(&mut self, now: Timestamp, finished: &FinishedAttempt) {
         let Some(request) = self.requests.get_mut(&finished.request) else { return };
         if let Some(attempt) = request.attempts.get_mut(usize::from(finished.attempt.0)) {
@@ -110,7 +112,7 @@
             attempt.may_have_run = !finished.outcome.never_ran();
         }
         if finished.request_finished {
-            self.forget(finished.request);
+            self.remove_request(finished.request);
         } else if !request.has_attempt_in_flight() {
             self.retry_or_finish(now, finished.request);
         }
--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -1,7 +1,7 @@
-//! Outlier detection: which endpoints are ejected, and how they come back.
+//! Outlier detection: decides which endpoints are ejected and when they are used again.
 //!
-//! Evidence is this balancer's own; what peers report is a claim, and weighs less. An ejected endpoint is on
-//! probation after a wait, and healthy again after some successes.
+//! A balancer relies on its own evidence; fault reports by peers carry less weight. After a wait, an ejected
+//! endpoint is on probation, and after enough successes it is healthy again.
 
 use super::Balancer;
 use crate::effects::Effects;
@@ -10,50 +10,51 @@
 use crate::route_table::PoolIndex;
 use crate::statistics::FailureCounts;
 
-/// How far beyond the others an endpoint has to be before it counts as faulty, and not as unlucky.
+/// An endpoint counts as faulty, and not merely unlucky, if it exceeds the others by this factor.
 const OUTLIER_FACTOR: f64 = 3.0;
-/// A wait doubles with each ejection in a row, up to this many.
+/// The wait doubles with each consecutive ejection, at most this many times.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
-/// Ejections in a row that raise the successes required on probation.
+/// The most consecutive ejections that raise the number of successes required on probation.
 const MAX_COUNTED_EJECTIONS: u32 = 4;
-/// Of the wait of an ejection: the shortest, and how much longer it may be.
+/// The shortest ejection and the width of its random range, as fractions of the computed wait.
 const EJECTION_WAIT_RATIO: f64 = 0.75;
 const EJECTION_WAIT_SPREAD: f64 = 0.5;
 
 /// An endpoint that gets no ordinary requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EjectedEndpoint {
-    /// Which endpoint.
+    /// The id of the endpoint.
     pub endpoint: EndpointId,
-    /// On the reports of peers alone.
+    /// Whether it was ejected on fault reports by peers alone.
     pub reported_by_peers: bool,
-    /// How often in a row it was ejected by own evidence.
+    /// The number of consecutive ejections on this balancer's own evidence.
     pub consecutive_ejections: u32,
 }
 
-/// Why an endpoint is ejected, as the log says it.
+/// The reason for an ejection, as it is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EjectionCause {
     ErrorAnswer,
-    ConnectionBroken,
+    ConnectionReset,
     ConnectFailed,
     NoResponse,
 }
 
 impl EjectionCause {
-    fn text(self) -> &'static str {
+    fn as_str(self) -> &'static str {
         match self {
-            EjectionCause::ErrorAnswer => "an error",
-            EjectionCause::ConnectionBroken => "its connection broke",
-            EjectionCause::ConnectFailed => "its connection failed",
-            EjectionCause::NoResponse => "no answer",
+            EjectionCause::ErrorAnswer => "error answer",
+            EjectionCause::ConnectionReset => "connection reset",
+            EjectionCause::ConnectFailed => "connect failed",
+            EjectionCause::NoResponse => "no response",
         }
     }
 }
 
 impl<E: Effects> Balancer<E> {
-    /// How long a request may stay unanswered before that is a sign of a fault: longer than nine tenths take,
-    /// and than an outlier of its cost (in core seconds) in its pool. `None` before the first answer.
+    /// Returns how long an attempt may go without a response before this indicates a fault: the 90th
+    /// percentile of durations, or [`OUTLIER_FACTOR`] times the median for its cost (in core seconds) in the
+    /// pool, whichever is longer. Returns `None` before the first answer.
     pub(super) fn attempt_timeout(&self, pool: PoolIndex, cost: f64) -> Option<Ticks> {
         let typical = self.statistics.summary.as_ref()?.p90_duration;
         let service_times = self.statistics.service_times(pool);
@@ -61,7 +62,7 @@
         Some(typical.max(Ticks::from_secs_f64(own_secs)))
     }
 
-    /// Whether an endpoint takes requests and responds to none, while others respond.
+    /// Returns whether an endpoint accepts requests but responds to none of them while others respond.
     pub(super) fn is_unresponsive(&self, now: Timestamp, endpoint: &Endpoint) -> bool {
         let Some(since) = endpoint.awaiting.since else { return false };
         let others_respond = self.last_response_at.is_some_and(|at| at > since);
@@ -72,13 +73,13 @@
         timeout.is_some_and(|timeout| now - since > timeout)
     }
 
-    /// Ejected, on probation, or unresponsive.
+    /// Returns whether the endpoint is ejected, on probation or unresponsive.
     pub(super) fn is_avoided(&self, now: Timestamp, endpoint: &Endpoint) -> bool {
         !endpoint.health.is_healthy() || self.is_unresponsive(now, endpoint)
     }
 
-    /// An attempt at the endpoint failed with an error or a broken connection. It is ejected if it fails more
-    /// than the others lead to expect: some requests fail on every endpoint.
+    /// Handles an attempt that failed with an error answer or a reset connection. Some requests fail on every
+    /// endpoint, so the endpoint is ejected only if it fails more often than the other endpoints suggest.
     pub(super) fn record_failure(&mut self, now: Timestamp, index: EndpointIndex, cause: EjectionCause) {
         self.statistics.record_outcome(now, index, true);
         let failures = self.statistics.failures(now - self.settings.max_timeout(), index);
@@ -88,19 +89,19 @@
         }
     }
 
-    /// An attempt got no response before it was given up, `duration` after it began. The endpoint is ejected
-    /// if it is unresponsive, and enough others are left.
+    /// Handles an attempt that was given up without a response `duration` after its start. The endpoint is
+    /// ejected if it is unresponsive and the other endpoints can take over its share.
     pub(super) fn record_no_response(&mut self, now: Timestamp, index: EndpointIndex, duration: Ticks) {
         let endpoint = &self.endpoints[index];
-        let is_expendable = endpoint.health.is_healthy() && self.endpoints.can_spare(index);
-        let may_eject = endpoint.health.is_ejected_by_peers_too() || is_expendable;
+        let is_removable = endpoint.health.is_healthy() && self.endpoints.can_spare(index);
+        let may_eject = endpoint.health.is_ejected_by_peers_too() || is_removable;
         if may_eject && self.is_unresponsive(now, endpoint) {
             self.eject(now, index, duration, EjectionCause::NoResponse);
         }
     }
 
-    /// Ejects an endpoint for a time that doubles with each ejection in a row. `duration` is how long the
-    /// failed attempt took: what kept it that long is not over sooner.
+    /// Ejects an endpoint for a time that doubles with each consecutive ejection. `duration` is the duration
+    /// of the failed attempt; the cause of a long delay is assumed to last at least as long again.
     pub(super) fn eject(
         &mut self,
         now: Timestamp,
@@ -109,7 +110,7 @@
         cause: EjectionCause,
     ) {
         let endpoint = &self.endpoints[index];
-        // What was in flight when the endpoint was ejected fails together, and counts as one failure.
+        // Attempts that were in flight at the ejection fail together and count as one failure.
         if endpoint.health.is_ejected(now) {
             return;
         }
@@ -123,12 +124,13 @@
             self.ejected.push(index);
         }
         let id = self.endpoints[index].id.0;
-        let line = format!("endpoint {id} ejected for {} ms: {}", wait.as_millis(), cause.text());
+        let line = format!("endpoint {id} ejected for {} ms: {}", wait.as_millis(), cause.as_str());
         self.effects.log(&line);
     }
 
-    /// The wait before the first probe request. A probe costs one attempt; to be without an endpoint that is
-    /// well again costs more, so it is never longer than the longest latency objective.
+    /// Returns the wait before the first probe request. A failed probe request costs one attempt, while
+    /// leaving a recovered endpoint unused costs more. The wait is therefore at most the longest latency
+    /// objective.
     fn ejection_wait(&self, duration: Ticks, previous_ejections: u32) -> Ticks {
         let base = self.statistics.p90_duration().max(duration);
         let max_wait = self.settings.max_latency_objective().unwrap_or(base);
@@ -136,8 +138,9 @@
         base.mul_f64(f64::from(factor)).min(max_wait)
     }
 
-    /// Peers report an endpoint as faulty. It has to prove itself, unless an own answer is newer, or too few
-    /// others are left. Peers have just probed it, so this balancer does so somewhat later.
+    /// Handles a fault report by peers. The endpoint goes on probation unless this balancer got a newer
+    /// answer from it or the remaining endpoints are too few. Peers have probed the endpoint already, so this
+    /// balancer's probe request follows later.
     pub(super) fn consider_fault_report(&mut self, now: Timestamp, id: EndpointId, since: Timestamp) {
         let Some(index) = self.endpoints.index_of(id) else { return };
         let endpoint = &self.endpoints[index];
@@ -155,7 +158,7 @@
         }
     }
 
-    /// An endpoint has succeeded, which may end its probation.
+    /// Records a success of the endpoint, which can end its probation.
     pub(super) fn record_success(&mut self, index: EndpointIndex) {
         let has_recovered = self.endpoints[index].health.on_success();
         if has_recovered {
@@ -175,17 +178,18 @@
     }
 }
 
-/// The failures to expect at one endpoint, as the mean of a Poisson distribution in which the same part of
-/// endpoints has any. By the part that failed at all, and not by their failures: else a few faulty endpoints
-/// would excuse each other.
+/// Returns the failures to expect at one endpoint: the mean of a Poisson distribution in which the observed
+/// fraction of endpoints has at least one failure. It counts failing endpoints and not failures, because a
+/// few faulty endpoints with many failures would otherwise make each other look normal.
 fn expected_failures(failures: &FailureCounts) -> f64 {
     let others = failures.others.max(1.0);
     let without_failure = (1.0 - failures.failing_others / others).max(0.5 / others);
     -without_failure.ln()
 }
 
-/// Successes that end a probation, by the ejections in a row. Where this balancer's share of the endpoint is
-/// under one attempt, probe requests are few and far between, and a single success is enough.
+/// Returns the successes required to end probation, by the number of consecutive ejections. If this
+/// balancer's share of the endpoint is less than one attempt, probe requests are rare and one success is
+/// enough.
 fn successes_required(ejections: u32, limit_share: f64) -> u32 {
     let counted = f64::from(ejections.min(MAX_COUNTED_EJECTIONS));
     1 + (counted * limit_share.min(1.0)) as u32
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -1,11 +1,11 @@
-//! Whether a request is sent again, and its final answer.
+//! Decides whether a request is sent again, and gives its final answer.
 //!
-//! No effect happens twice: what may have run is sent again only where a repeat is harmless, or is recognized
-//! and dropped.
+//! No effect may happen twice: a request that may have run is sent again only if a repeat is harmless or will
+//! be recognized and dropped.
 //!
-//! A retry is refused by the request's own state in `may_retry`, by what earlier attempts may have done in
-//! `may_repeat` (asked for each endpoint by `may_get` in [`super::selection`], and again before the first byte
-//! by `may_begin_attempt`), and for want of room by the queue.
+//! Three checks can refuse a retry: `may_retry` by the state of the request, `may_repeat` by what earlier
+//! attempts may have done, and the queue for lack of capacity. `may_repeat` is called for each endpoint by
+//! `is_eligible` in [`super::selection`], and again before the first byte by `may_begin_attempt`.
 
 use super::Balancer;
 use crate::effects::Effects;
@@ -14,16 +14,17 @@
 use crate::request::{Attempt, Request};
 use crate::settings::{DedupScope, Idempotency};
 
-/// First attempt and retries together.
+/// The most attempts of a request, the first included.
 const MAX_ATTEMPTS: usize = 3;
-/// Of the time that nine tenths of attempts take: the shortest retry-after, and how much more it may be.
+/// The shortest retry-after and the width of its random range, as fractions of the 90th percentile of attempt
+/// durations.
 const RETRY_AFTER_RATIO: f64 = 0.5;
 const RETRY_AFTER_SPREAD: f64 = 1.0;
-/// Before the first answer: the part of the latency objective after which a hedged request is sent.
+/// The delay of a hedged request before the first answer, as a fraction of the latency objective.
 const INITIAL_HEDGE_RATIO: f64 = 0.5;
 
 impl<E: Effects> Balancer<E> {
-    /// Whether an attempt that begins `at` repeats no effect, after the `earlier` attempts of its request.
+    /// Returns whether an attempt that begins `at` repeats no effect of the request's `earlier` attempts.
     pub(super) fn may_repeat(
         &self,
         at: Timestamp,
@@ -49,8 +50,8 @@
         own.first().is_some_and(|own| self.may_repeat(now, request, earlier, &self.endpoints[own.endpoint]))
     }
 
-    /// Whether a request may be sent again as far as its own state goes; `may_repeat` then judges each endpoint.
-    /// Under overload none is: retries would feed it.
+    /// Returns whether the state of the request allows a retry; `may_repeat` then checks each endpoint.
+    /// Nothing is retried under overload, because retries would increase it.
     fn may_retry(&self, now: Timestamp, request: &Request) -> bool {
         let is_in_time = request.deadline - now > self.statistics.median_duration();
         let max_attempts = MAX_ATTEMPTS.min(self.settings.max_attempts.into());
@@ -58,7 +59,7 @@
         has_attempts_left && is_in_time && !request.is_streaming && !self.is_overloaded(now)
     }
 
-    /// The attempts of a request are over, and it is not answered.
+    /// Retries or finishes a request whose attempts are over without an answer.
     pub(super) fn retry_or_finish(&mut self, now: Timestamp, id: RequestId) {
         if self.may_retry(now, self.request(id)) {
             if self.try_place(now, id) {
@@ -71,8 +72,8 @@
         self.finish_unanswered(now, id);
     }
 
-    /// Sets the time of a hedged request, unless the class bars any second attempt. `attempt_timeout` is that
-    /// of the first attempt.
+    /// Schedules a hedged request unless the class is non-idempotent. `attempt_timeout` is the timeout of the
+    /// first attempt.
     pub(super) fn schedule_hedge(&mut self, now: Timestamp, id: RequestId, attempt_timeout: Option<Ticks>) {
         let class = self.settings.class(self.request(id).incoming.class);
         if class.idempotency == Idempotency::NonIdempotent {
@@ -87,7 +88,7 @@
         }
     }
 
-    /// A request's timer has gone off: its wait is over, or it is time to hedge.
+    /// Handles a request's timer: its wait is over, or a hedged request is due.
     pub(super) fn on_request_timer(&mut self, now: Timestamp, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let is_due = now >= request.due_at;
@@ -98,14 +99,14 @@
         }
     }
 
-    /// Gives the final answer to a request without an answer of its own: rejected where the client may send
-    /// it again, else failed.
+    /// Gives the final answer to a request that no endpoint has answered: it is rejected if the client may
+    /// send it again, and failed otherwise.
     pub(super) fn finish_unanswered(&mut self, now: Timestamp, id: RequestId) {
         let request = self.request(id);
         let was_deferred = request.load_probes.deferrals > 0;
         if !self.may_client_retry(request) {
             self.effects.fail(id);
-            self.forget(id);
+            self.remove_request(id);
         } else if was_deferred || self.is_overloaded(now) {
             let typical = self.statistics.p90_duration();
             let wait = self.with_jitter(typical, RETRY_AFTER_RATIO, RETRY_AFTER_SPREAD);
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Whether it does no harm that the client sends the request again, through any balancer.
+    /// Returns whether the client can safely send the request again through any balancer.
     fn may_client_retry(&self, request: &Request) -> bool {
         let may_have_run = request.has_attempt_in_flight() || request.may_have_run();
         match self.settings.class(request.incoming.class).idempotency {
@@ -124,18 +125,18 @@
         }
     }
 
-    /// Rejects a request. `retry_after` is when to send it again; it is told where clients follow such
-    /// advice, and within their limit.
+    /// Rejects a request. The client is told `retry_after` only if clients follow such advice, and no more
+    /// than their limit.
     pub(super) fn reject(&mut self, id: RequestId, retry_after: Option<Ticks>) {
         let max_retry_after = self.settings.max_retry_after;
         let advice = retry_after.and_then(|wait| max_retry_after.map(|max| wait.min(max)));
         self.effects.reject(id, advice);
-        self.forget(id);
+        self.remove_request(id);
     }
 
-    /// The request's deadline is now. What is in flight is cancelled, and the final answer follows when that
-    /// has finished.
-    pub(super) fn end_early(&mut self, now: Timestamp, id: RequestId) {
+    /// Moves the request's deadline to now. Attempts in flight are cancelled, and the final answer follows
+    /// when they have finished.
+    pub(super) fn expire_request(&mut self, now: Timestamp, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.deadline = now;
         if !request.has_attempt_in_flight() {
@@ -144,9 +145,9 @@
         cancel_attempts(&mut self.effects, id, &request.attempts);
     }
 
-    /// Drops a request that is over. Its attempts are cancelled, where that is allowed and none streams a
-    /// body.
-    pub(super) fn forget(&mut self, id: RequestId) {
+    /// Removes a finished request. Its attempts are cancelled if the settings allow it and none of them
+    /// streams a body.
+    pub(super) fn remove_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else { return };
         self.queue.retain(|&waiting| waiting != id);
         if self.settings.cancellation_enabled && !request.is_streaming {
--- a/src/policy/routing.rs
+++ b/src/policy/routing.rs
@@ -1,5 +1,4 @@
-//! Which pool a request belongs to by its content: the ordinary path, and its one exception for heavy
-//! requests.
+//! Decides which pool a request belongs to by its cost and key, with one exception for heavy requests.
 
 use super::Balancer;
 use crate::effects::Effects;
@@ -8,13 +7,13 @@
 use crate::rng::mix;
 use crate::route_table::{DEFAULT_POOL, PoolIndex, SMALL_POOL};
 
-/// Part of the time to its objective that a request may need in its own pool. Service times are medians, and
-/// there may be a queue.
+/// The fraction of the time to its objective that a request may need in its home pool. It leaves a margin
+/// because service times are medians and the request may be queued.
 const HEAVY_REQUEST_RATIO: f64 = 0.4;
 
 impl<E: Effects> Balancer<E> {
-    /// The pool that the route table gives a request: small ones go to the small pool, others to the range
-    /// pool that owns their key's slot, and the rest to the default pool.
+    /// Returns the pool that the route table assigns: the small pool for small requests, the range pool that
+    /// owns the key's slot, or else the default pool.
     pub(super) fn home_pool(&self, request: &Request) -> PoolIndex {
         let small_bound = self.statistics.cost_estimates.small_bound();
         let is_small = request.incoming.cost_estimate.is_some_and(|estimate| estimate <= small_bound);
@@ -27,8 +26,8 @@
         }
     }
 
-    /// The home pool, or for a heavy request that would miss its objective there, the fastest pool, if it can
-    /// meet it.
+    /// Returns the home pool. A heavy request that would miss its objective there goes to the fastest pool,
+    /// if that one can meet the objective.
     pub(super) fn preferred_pool(&self, now: Timestamp, request: &Request) -> PoolIndex {
         let home = self.home_pool(request);
         let time_left = (request.objective_at - now).as_secs_f64();
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,5 +1,5 @@
-//! Which endpoint an attempt goes to: this balancer's subset of each pool, power of two choices among it, and
-//! who may take an attempt.
+//! Selects the endpoint of an attempt: this balancer's subset of each pool, power of two choices within it,
+//! and the conditions for an endpoint to receive an attempt.
 
 use super::Balancer;
 use super::concurrency::MIN_LIMIT;
@@ -10,19 +10,19 @@
 use crate::rng::mix;
 use crate::route_table::{DEFAULT_POOL, PoolIndex};
 
-/// The fewest endpoints of a pool that a balancer uses: two choices.
+/// The smallest subset of a pool: power of two choices needs two endpoints.
 const MIN_SUBSET: usize = 2;
-/// How much more load the first choice may have than the second, where loads are known: it has the key
-/// cached, and does half the work for it.
+/// How much higher the load of the first choice may be than that of the second, where loads are known. The
+/// first choice has the key cached and does half the work for the request.
 const CACHED_KEY_ADVANTAGE: f64 = 1.0;
-/// The part of a limit that is open to requests without weight.
-const MIN_ROOM_RATIO: f64 = 0.2;
+/// The fraction of a limit that is open to requests with zero weight.
+const MIN_OPEN_LIMIT_RATIO: f64 = 0.2;
 
-/// Where a request may go, one try after the other.
+/// One set of endpoints to try; a request tries several sets in order.
 #[derive(Clone, Copy)]
 struct Candidates {
     pools: Pools,
-    /// Only endpoints of this balancer's own zone.
+    /// Whether only endpoints in this balancer's own zone are candidates.
     is_zone_local: bool,
 }
 
@@ -41,12 +41,12 @@
     }
 }
 
-/// An endpoint with its rank in the sampling for one key: the highest ranks are the choices.
+/// An endpoint and its rank in the sampling by key. The two highest ranks are the choices.
 type RankedEndpoint = (u64, EndpointIndex);
 
 impl<E: Effects> Balancer<E> {
-    /// Places a request at an endpoint and starts an attempt there. False where none has room for it, or its
-    /// load is asked for first.
+    /// Selects an endpoint for a request and starts an attempt there. Returns false if no endpoint is
+    /// available, or if the request first waits for a load report.
     pub(super) fn try_place(&mut self, now: Timestamp, id: RequestId) -> bool {
         match self.select(now, id) {
             Some(index) => {
@@ -80,7 +80,8 @@
         self.schedule_hedge(now, id, attempt_timeout);
     }
 
-    /// Chooses an endpoint for a request. `None` where none may take it, or its load has to be learned first.
+    /// Selects an endpoint for a request. Returns `None` if none is available or its load must be learned
+    /// first.
     fn select(&mut self, now: Timestamp, id: RequestId) -> Option<EndpointIndex> {
         self.refresh_sustained_work(now);
         let salt = u64::from(self.rng.next_u32());
@@ -89,13 +90,13 @@
             let probed = self.find_probe_target(now, request, candidates);
             probed.or_else(|| self.sample_two(now, request, salt, candidates))
         });
-        let selected = sampled.or_else(|| self.last_resort(now, request, salt))?;
+        let selected = sampled.or_else(|| self.fallback_endpoint(now, request, salt))?;
         let waits_for_load = self.probe_if_unknown(now, id, selected);
         (!waits_for_load).then_some(selected)
     }
 
-    /// The preferred pool, then the default pool, then all; where pools are used whole, first in the own zone
-    /// and then anywhere.
+    /// Returns the candidates in order: the preferred pool, the default pool, then all pools. Where whole
+    /// pools are used, endpoints in the own zone come before all others.
     fn candidates(&self, now: Timestamp, request: &Request) -> impl Iterator<Item = Candidates> + use<E> {
         let preferred = self.preferred_pool(now, request);
         let zone_preference: &[bool] = if self.uses_whole_pools() { &[true, false] } else { &[false] };
@@ -106,7 +107,7 @@
         })
     }
 
-    /// An endpoint on probation whose next probe request may be this one.
+    /// Returns an endpoint on probation that may get this request as its next probe request.
     fn find_probe_target(
         &self,
         now: Timestamp,
@@ -121,9 +122,9 @@
         self.ejected.iter().find(is_target).copied()
     }
 
-    /// Power of two choices: samples two endpoints and takes the less loaded one. The request's key samples,
-    /// so that it meets endpoints that have it cached; a request without a key samples by chance, from
-    /// `salt`.
+    /// Power of two choices: samples two endpoints and returns the less loaded one. Sampling is by the
+    /// request's key, so that requests with the same key meet endpoints that have it cached. A request
+    /// without a key is sampled randomly, by `salt`.
     fn sample_two(
         &self,
         now: Timestamp,
@@ -137,9 +138,9 @@
         for pool in self.open_pools(now, candidates.pools) {
             for entry in self.subset(pool) {
                 let ranked = Some((mix(seed ^ entry.hash_key()), entry.index));
-                let is_far =
+                let is_other_zone =
                     candidates.is_zone_local && Some(self.endpoints[entry.index].zone) != self.settings.zone;
-                if ranked <= second || is_far || !self.may_take(now, request, entry.index) {
+                if ranked <= second || is_other_zone || !self.is_available(now, request, entry.index) {
                     continue;
                 }
                 if ranked > first {
@@ -157,7 +158,7 @@
         })
     }
 
-    /// The pools among these that may get an attempt now, within this balancer's share and pacing.
+    /// Returns those of the pools that may get an attempt now, within this balancer's share and pacing.
     fn open_pools(&self, now: Timestamp, pools: Pools) -> impl Iterator<Item = PoolIndex> {
         let pool_count = self.rings.len();
         let range = match pools {
@@ -166,12 +167,13 @@
             Pools::All => 0..pool_count,
         };
         range.filter(move |&pool| {
-            self.uses_whole_pools() || self.has_room(pool) && now >= self.paced_until(pool)
+            self.uses_whole_pools() || self.pool_has_capacity(pool) && now >= self.paced_until(pool)
         })
     }
 
-    /// The second choice, if the first is known to be more loaded. The second's load is asked for only where
-    /// the first holds much: what probes cost adds up.
+    /// Returns the second choice if the first is known to be more loaded, and the first otherwise. An unknown
+    /// load of the second is a reason to choose and probe it only if the first is loaded, because probes add
+    /// up in cost.
     fn less_loaded(&self, now: Timestamp, first: EndpointIndex, second: EndpointIndex) -> EndpointIndex {
         let load = |index: EndpointIndex| self.load(now, &self.endpoints[index]);
         let is_unknown =
@@ -182,20 +184,20 @@
         if takes_second { second } else { first }
     }
 
-    /// The least loaded of the endpoints that are avoided, where no other may take the request: any, if all
-    /// are avoided, since that tells nothing; else one that fails some requests, if this request loses least
-    /// by a failure.
-    fn last_resort(&self, now: Timestamp, request: &Request, salt: u64) -> Option<EndpointIndex> {
+    /// Returns the least loaded of the avoided endpoints, for a request that no other endpoint can take. If
+    /// all endpoints are unhealthy, any may be chosen, because their state then does not distinguish them.
+    /// Otherwise only a low-risk request is sent to an endpoint that fails some requests.
+    fn fallback_endpoint(&self, now: Timestamp, request: &Request, salt: u64) -> Option<EndpointIndex> {
         let entries = || self.rings.iter().flatten();
         let is_healthy = |index: EndpointIndex| self.endpoints[index].health.is_healthy();
         let are_all_unhealthy = entries().all(|entry| !is_healthy(entry.index));
-        let may_risk = |index: EndpointIndex| {
+        let is_acceptable_risk = |index: EndpointIndex| {
             let endpoint = &self.endpoints[index];
             let responds = !endpoint.refuses_connections && !self.is_unresponsive(now, endpoint);
             self.is_low_risk(request) && !endpoint.health.is_healthy() && responds
         };
-        let candidates = entries().filter(|entry| are_all_unhealthy || may_risk(entry.index));
-        let open = candidates.filter(|entry| self.may_get(now, request, entry.index));
+        let candidates = entries().filter(|entry| are_all_unhealthy || is_acceptable_risk(entry.index));
+        let open = candidates.filter(|entry| self.is_eligible(now, request, entry.index));
         let least_loaded = open.min_by_key(|entry| {
             let in_flight = self.endpoints[entry.index].in_flight;
             (in_flight, mix(salt ^ entry.hash_key()))
@@ -203,32 +205,32 @@
         least_loaded.map(|entry| entry.index)
     }
 
-    /// Whether an endpoint may get the request at all, healthy or not: it is ready, has not had it, has room,
-    /// and a repeat there would be harmless.
-    fn may_get(&self, now: Timestamp, request: &Request, index: EndpointIndex) -> bool {
+    /// Returns whether an endpoint, healthy or not, may get the request: it is ready, has not been tried, has
+    /// capacity, and a repeat there would be harmless.
+    fn is_eligible(&self, now: Timestamp, request: &Request, index: EndpointIndex) -> bool {
         let endpoint = &self.endpoints[index];
-        // An attempt may begin as late as a new connection comes up.
+        // The attempt may begin as late as a new connection is established.
         let latest_begin = now + self.settings.connect_timeout;
         endpoint.is_ready()
             && !request.was_sent_to(index)
-            && self.has_room_by_weight(now, request, endpoint)
+            && self.has_capacity_for_weight(now, request, endpoint)
             && self.may_repeat(latest_begin, request, &request.attempts, endpoint)
             && self.has_capacity(now, request, endpoint)
     }
 
-    /// Where pools are used whole no queue of this balancer orders requests: then light ones find less of an
-    /// endpoint's limit open.
-    fn has_room_by_weight(&self, now: Timestamp, request: &Request, endpoint: &Endpoint) -> bool {
+    /// Returns whether the endpoint's limit is open to a request of this weight. Where whole pools are used,
+    /// no queue of this balancer orders requests, so less of a limit is open to requests with less weight.
+    fn has_capacity_for_weight(&self, now: Timestamp, request: &Request, endpoint: &Endpoint) -> bool {
         if !self.uses_whole_pools() {
             return true;
         }
         let relative_weight = request.priority_weight / self.settings.max_priority_weight();
-        let open_ratio = MIN_ROOM_RATIO + (1.0 - MIN_ROOM_RATIO) * relative_weight;
+        let open_ratio = MIN_OPEN_LIMIT_RATIO + (1.0 - MIN_OPEN_LIMIT_RATIO) * relative_weight;
         let limit = MIN_LIMIT * open_ratio * self.capacity_fraction(now, endpoint);
         self.load(now, endpoint) < limit
     }
 
-    /// Within the concurrency limit, or within slow start for an endpoint that is warming up.
+    /// Returns whether the endpoint is within its concurrency limit, or within slow start while it warms up.
     fn has_capacity(&self, now: Timestamp, request: &Request, endpoint: &Endpoint) -> bool {
         let fraction = self.capacity_fraction(now, endpoint);
         if fraction < 1.0 {
@@ -237,18 +239,18 @@
         self.probes_load() || self.is_within_limit(endpoint)
     }
 
-    /// Whether a healthy endpoint takes the request now.
-    fn may_take(&self, now: Timestamp, request: &Request, index: EndpointIndex) -> bool {
+    /// Returns whether the endpoint can take the request now as an ordinary request.
+    fn is_available(&self, now: Timestamp, request: &Request, index: EndpointIndex) -> bool {
         let endpoint = &self.endpoints[index];
         let is_paused = self.uses_whole_pools() && now < endpoint.overloaded_until;
         !is_paused
-            && !self.is_load_unknowable(now, request, endpoint)
+            && !self.is_load_unavailable(now, request, endpoint)
             && !self.ignores_probes(now, endpoint)
             && !self.is_unresponsive(now, endpoint)
-            && self.may_get(now, request, index)
+            && self.is_eligible(now, request, index)
     }
 
-    /// Whether the request may be the next probe request of an endpoint on probation.
+    /// Returns whether the request may be the next probe request of an endpoint on probation.
     fn may_probe_with(&self, now: Timestamp, request: &Request, index: EndpointIndex) -> bool {
         let endpoint = &self.endpoints[index];
         let due_at = endpoint.health.probe_after().max(self.probe_paced_until(endpoint));
@@ -256,23 +258,25 @@
         is_due
             && request.attempts.is_empty()
             && self.is_low_risk(request)
-            && self.may_get(now, request, index)
+            && self.is_eligible(now, request, index)
     }
 
-    /// Whether a failure of the request loses no more than one of any other class.
+    /// Returns whether the request's class has the lowest retry risk of all classes.
     fn is_low_risk(&self, request: &Request) -> bool {
         let risk = self.settings.class(request.incoming.class).idempotency.retry_risk();
         self.settings.classes.iter().all(|class| risk <= class.idempotency.retry_risk())
     }
 
-    /// Whether requests may go to any endpoint of a pool, not to this balancer's subset alone: connections
-    /// are free or loads are asked for, and a key meets the same endpoints through all balancers.
+    /// Returns whether requests may go to any endpoint of a pool, instead of this balancer's subset only.
+    /// This applies if connections are free or load probes are used. A key then maps to the same endpoints at
+    /// every balancer.
     pub(super) fn uses_whole_pools(&self) -> bool {
         self.settings.connections_free || self.probes_load()
     }
 
-    /// How many endpoints of a pool this balancer uses. Hundreds of balancers that each use all of them would
-    /// meet each too seldom to learn of it, and hold more connections to it than it takes.
+    /// Returns the size of this balancer's subset of a pool. If hundreds of balancers each used all
+    /// endpoints, each would send too few requests to an endpoint to learn its state, and together they would
+    /// hold more connections to it than it accepts.
     pub(super) fn subset_size(&self, pool: PoolIndex) -> usize {
         let endpoints = self.rings.get(pool).map_or(0, Vec::len);
         if self.uses_whole_pools() {
@@ -283,16 +287,16 @@
         endpoints.min(subset.max(MIN_SUBSET))
     }
 
-    /// How many balancers use each endpoint of a pool.
+    /// Returns how many balancers use each endpoint of a pool.
     pub(super) fn balancers_per_endpoint(&self, pool: PoolIndex) -> f64 {
         let endpoints = self.rings.get(pool).map_or(0, Vec::len).max(1);
         let balancers = f64::from(self.settings.balancer_count.max(1));
         balancers * self.subset_size(pool).max(1) as f64 / endpoints as f64
     }
 
-    /// The endpoints of a pool that this balancer uses: the first healthy ones on its ring. The next one
-    /// steps in for an ejected one, but not for one that is missing from the list: else all balancers would
-    /// meet at the few that a wrong list leaves.
+    /// Returns this balancer's subset of a pool: the first healthy endpoints on its ring. An ejected endpoint
+    /// is replaced by the next one, but an endpoint that is missing from the list is not: otherwise all
+    /// balancers would converge on the few endpoints that a wrong list leaves.
     pub(super) fn subset(&self, pool: PoolIndex) -> impl Iterator<Item = RingEntry> {
         let ring = self.rings.get(pool).into_iter().flatten().copied();
         let healthy = ring.filter(|entry| self.endpoints[entry.index].health.is_healthy());
@@ -300,7 +304,7 @@
         subset.filter(|entry| self.endpoints[entry.index].is_ready())
     }
 
-    /// Closes connections to endpoints that have stepped in and are no longer used.
+    /// Closes connections to endpoints that replaced others in the subset and are no longer used.
     pub(super) fn close_unused_connections(&mut self, pool: PoolIndex) {
         let mut places_left = self.subset_size(pool);
         for entry in &self.rings[pool] {
--- a/src/snapshot.rs
+++ b/src/snapshot.rs
@@ -19,7 +19,7 @@
 const MAX_LINES: usize = 50_000;
 
 /// The first word of each kind of line.
-mod words {
+mod keywords {
     pub const COST_ESTIMATE: &str = "hint";
     pub const ROUND_MEDIAN: &str = "floor";
     pub const SAMPLE: &str = "sample";
@@ -36,10 +36,10 @@
     };
     let kind = |pool: PoolIndex| learned.routes.kinds.get(pool).map_or(u16::MAX, |kind| kind.0);
     for estimate in learned.statistics.cost_estimates.iter() {
-        line(format_args!("{} {estimate}", words::COST_ESTIMATE));
+        line(format_args!("{} {estimate}", keywords::COST_ESTIMATE));
     }
     for RoundMedian { pool, service_time } in learned.statistics.rounds.iter() {
-        line(format_args!("{} {} {service_time}", words::ROUND_MEDIAN, kind(*pool)));
+        line(format_args!("{} {} {service_time}", keywords::ROUND_MEDIAN, kind(*pool)));
     }
     for sample in
         learned.statistics.samples.iter().filter(|sample| learned.endpoints.contains(sample.endpoint))
@@ -48,18 +48,18 @@
         let (id, kind) = (learned.endpoints[*endpoint].id.0, kind(*pool));
         line(format_args!(
             "{} {} {id} {kind} {} {service_time} {expected_secs}",
-            words::SAMPLE,
+            keywords::SAMPLE,
             at.0,
             duration.0
         ));
     }
     for (pool, sustained) in learned.sustained_work.by_pool.iter().enumerate() {
         if let Some(sustained) = sustained {
-            line(format_args!("{} {} {sustained}", words::SUSTAINED_WORK, kind(pool)));
+            line(format_args!("{} {} {sustained}", keywords::SUSTAINED_WORK, kind(pool)));
         }
     }
     for (_, endpoint) in learned.endpoints.ready() {
-        for (word, log) in [(words::SENT, &endpoint.sent), (words::ANSWERED, &endpoint.answered)] {
+        for (word, log) in [(keywords::SENT, &endpoint.sent), (keywords::ANSWERED, &endpoint.answered)] {
             for (at, work) in log.since(now - WORK_RETENTION) {
                 line(format_args!("{word} {} {} {work}", endpoint.id.0, at.0));
             }
@@ -81,28 +81,28 @@
 /// `None` where the line cannot be read, or does not belong here.
 fn read_line(fields: &Fields, now: Timestamp, learned: &mut LearnedState) -> Option<()> {
     let LearnedState { routes, statistics, sustained_work, endpoints } = learned;
-    match fields.word() {
-        words::COST_ESTIMATE => {
+    match fields.keyword() {
+        keywords::COST_ESTIMATE => {
             statistics.cost_estimates.record(fields.amount(1)?, routes.small_pool_ratio);
         }
-        words::ROUND_MEDIAN => {
+        keywords::ROUND_MEDIAN => {
             let (pool, service_time) = (fields.pool(1, routes)?, fields.amount(2)?);
             statistics.rounds.put(RoundMedian { pool, service_time });
         }
-        words::SUSTAINED_WORK => {
+        keywords::SUSTAINED_WORK => {
             let (pool, sustained) = (fields.pool(1, routes)?, fields.amount(2)?);
             sustained_work.by_pool.resize(routes.pool_count(), None);
             sustained_work.by_pool[pool] = Some(sustained);
         }
-        words::SAMPLE => {
+        keywords::SAMPLE => {
             let sample = read_sample(fields, now, routes, endpoints)?;
             statistics.samples.put(sample);
             statistics.answer_count += 1;
         }
-        word @ (words::SENT | words::ANSWERED) => {
+        word @ (keywords::SENT | keywords::ANSWERED) => {
             let index = endpoints.ready_index_of(EndpointId(fields.value(1)?))?;
             let endpoint = &mut endpoints[index];
-            let log = if word == words::SENT { &mut endpoint.sent } else { &mut endpoint.answered };
+            let log = if word == keywords::SENT { &mut endpoint.sent } else { &mut endpoint.answered };
             log.put(fields.past(2, now)?, WORK_RETENTION, fields.amount(3)?);
         }
         _ => {}
@@ -134,7 +134,7 @@
         Fields(line.split(' ').collect())
     }
 
-    fn word(&self) -> &'a str {
+    fn keyword(&self) -> &'a str {
         self.0[0]
     }
 
--- a/src/statistics.rs
+++ b/src/statistics.rs
@@ -105,8 +105,8 @@
     /// After each of the first answers, after a fixed number of them, and after a median duration.
     fn is_summary_due(&self, now: Timestamp) -> bool {
         let is_early = self.answer_count <= ANSWERS_BETWEEN_SUMMARIES;
-        let is_turn = self.answer_count.is_multiple_of(ANSWERS_BETWEEN_SUMMARIES);
-        is_early || is_turn || now - self.summarized_at >= self.median_duration()
+        let is_batch_complete = self.answer_count.is_multiple_of(ANSWERS_BETWEEN_SUMMARIES);
+        is_early || is_batch_complete || now - self.summarized_at >= self.median_duration()
     }
 
     /// The first answers make a round as well: where congestion follows the start, they alone show a time
