--- a/crates/cli/tests/configuration.rs
+++ b/crates/cli/tests/configuration.rs
@@ -86,16 +86,16 @@
         Some(1) invalid socket address syntax at line 1 column 114
         Some(1) a seed of hexadecimal digits expected, not "seven"
         Some(1) 64 sockets or more expected, not 8
-        Some(1) settings: expected a known categories.0.semantics, not "sometimes"
-        Some(1) settings: expected setting obligations.cold that can be read, not "null"
+        Some(1) settings: expected a known value for categories.0.semantics, not "sometimes"
+        Some(1) settings: expected a valid value for obligations.cold, not "null"
         Some(1) missing field `addr` at line 1 column 69
-        Some(1) settings: expected a known report.source, not "guesses"
-        Some(1) settings: expected setting limits.probes
+        Some(1) settings: expected a known value for report.source, not "guesses"
+        Some(1) settings: expected limits.probes to be set
         Some(1) settings: expected limits.probes of true, since report.source is "probe"
-        Some(1) settings: expected setting az under 1, not 1
-        Some(1) settings: expected setting prices.probe of 0 or more, not -0.5
-        Some(1) settings: expected setting prices.connection that can be read, not "free"
-        Some(1) settings: expected setting categories.0.overdue_benefit of 1 at most, not 1.5
+        Some(1) settings: expected az to be less than 1, not 1
+        Some(1) settings: expected prices.probe to be a number of at least 0, not -0.5
+        Some(1) settings: expected a valid value for prices.connection, not "free"
+        Some(1) settings: expected categories.0.overdue_benefit to be at most 1, not 1.5
     "#]]
     .assert_eq(&said);
 }
--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -1,9 +1,9 @@
-//! The decisions for network code that is written from top to bottom.
+//! Makes routing decisions available to asynchronous network code.
 //!
-//! A protocol server hands each request to [`Dispatcher::submit`], asks [`Dispatcher::next_step`] what to do with it
-//! until there is a final answer, and tells [`Dispatcher::report_attempt`] how each attempt finished. One
-//! task calls [`Dispatcher::tick`] with the time, and with what discovery has brought. Whatever protocol
-//! stands in front, this is all that it meets. No decision is made here, and no socket is touched.
+//! A protocol server passes each request to [`Dispatcher::submit`], awaits [`Dispatcher::next_step`] until it
+//! returns a final answer, and reports the end of each attempt to [`Dispatcher::report_attempt`]. One task
+//! calls [`Dispatcher::tick`] with the current time and with discovery events. This interface is the same for
+//! every protocol. The dispatcher itself makes no decisions and does no I/O.
 
 mod mailbox;
 
@@ -24,32 +24,32 @@
 
 pub use crate::policy::EjectedEndpoint;
 
-/// What the decisions read of a request.
+/// The properties of a request on which decisions depend.
 #[derive(Clone, Copy, Debug)]
 pub struct NewRequest {
-    /// Its class.
+    /// The request class.
     pub class: ClassId,
-    /// Whose quota it counts against.
+    /// The tenant whose quota the request counts against.
     pub tenant: TenantId,
-    /// Requests with one key go to the same endpoints where possible.
+    /// The hash of the request's key. Requests with the same key go to the same endpoints where possible.
     pub key: Option<KeyHash>,
-    /// Expected work in seconds of a standard core.
+    /// The expected work in seconds of a standard core.
     pub cost_estimate: Option<f64>,
-    /// How long the client stays, from now on.
+    /// The time that the client waits, counted from submission.
     pub timeout: Ticks,
 }
 
-/// What is to be done with a request next.
+/// The next step for a request.
 #[derive(Debug)]
 pub enum NextStep {
-    /// Send an attempt; further steps follow.
+    /// Send an attempt. Further steps follow.
     Attempt(Attempt),
-    /// The final answer: the client may send the request again, best after this time.
+    /// Reject the request as its final answer. The client may send it again, preferably after this time.
     Reject {
-        /// `None` where the client is given no such advice.
+        /// `None` if the client gets no such advice.
         retry_after: Option<Ticks>,
     },
-    /// The final answer: it is unknown whether the request ran.
+    /// Fail the request as its final answer. It is unknown whether the request ran.
     Fail,
 }
 
@@ -59,47 +59,46 @@
     }
 }
 
-/// An attempt that is to be made. It is given back to [`Dispatcher::report_attempt`], and so is reported
-/// once.
+/// An attempt to send. [`Dispatcher::report_attempt`] consumes it, so that it is reported only once.
 #[derive(Debug)]
 pub struct Attempt {
-    /// Where it goes.
+    /// The endpoint that it goes to.
     pub endpoint: EndpointId,
     request: RequestId,
     number: AttemptNumber,
     decided_at: Timestamp,
 }
 
-/// What discovery has brought.
+/// An event from discovery.
 pub enum DiscoveryEvent<'a> {
-    /// Nothing; time passes.
+    /// No event; only time has passed.
     None,
-    /// All endpoints there are.
+    /// The complete endpoint list.
     Snapshot(&'a [EndpointUpdate]),
     /// Endpoints that have changed.
     Updates(&'a [EndpointUpdate]),
-    /// A call has failed.
+    /// A discovery call that failed.
     Error,
 }
 
-/// How many balancers share what all of them may do together.
+/// Determines a balancer's share of the limits for all balancers together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetShare {
-    /// Balancers among which it is shared.
+    /// The number of balancers that share the limits.
     pub balancer_count: u32,
-    /// The part of a warming endpoint's spare work that is theirs, in 0..=1.
+    /// The fraction of a warming endpoint's spare work that these balancers may use, in 0..=1.
     pub slow_start_ratio: f64,
 }
 
-/// A [`FleetShare`] that holds for a while, and what holds after it. It ends by itself, also in a process
-/// that was stopped meanwhile.
+/// A [`FleetShare`] that is valid for a limited time, with a fallback for the time after. It expires without
+/// further action, even in a process that was paused in the meantime.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeasedFleetShare {
-    /// Holds until then.
+    /// The share until the lease ends.
     pub current: FleetShare,
-    /// When the current share ends.
+    /// The end of the current share.
     pub until: Timestamp,
-    /// Holds from then on.
+    /// The share from then on.
     pub fallback: FleetShare,
 }
 
@@ -109,7 +108,7 @@
     }
 }
 
-/// Effects that no request waits for.
+/// Effects that do not belong to a single request.
 pub trait BackgroundEffects: Send {
     /// See [`Effects::close_idle_connections`].
     fn close_idle_connections(&mut self, endpoint: EndpointId);
@@ -118,39 +117,40 @@
     fn log(&mut self, line: &str);
 }
 
-/// Limits that hold for the whole fleet. They are asked while a decision is made, and must answer at once.
+/// Limits of the whole fleet. They are checked during a decision, so implementations must not block.
 pub trait FleetLimits: Send + Sync {
     /// See [`Effects::fleet_limit_wait`].
     fn wait_time(&self, now: Timestamp, tenant: TenantId) -> Option<Ticks>;
 }
 
-/// What is held for requests that are not over. Without requests all of it is zero in the end.
+/// The state held for requests that are not finished. Once there are no more requests, all counts fall to
+/// zero.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PendingCounts {
     /// Requests whose final answer has not been fetched.
     pub requests: usize,
-    /// Attempts that may be cancelled.
+    /// Attempts that can still be cancelled.
     pub attempts: usize,
-    /// Timers that have not gone off.
+    /// Timers that have not fired.
     pub timers: usize,
-    /// Requests in the decisions.
+    /// Requests without a final answer in the balancer's state.
     pub undecided: usize,
 }
 
-/// What the endpoints' own answers have shown.
+/// What the endpoints' answers to this balancer have shown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AnswerEvidence {
-    /// Endpoints that are ready.
+    /// The number of ready endpoints.
     pub ready_endpoints: usize,
-    /// Of those, the ones that have answered recently.
+    /// The number of ready endpoints that have answered recently.
     pub answered_endpoints: usize,
-    /// Answers measured since the start.
+    /// The number of answers measured since the start.
     pub answer_count: usize,
 }
 
 type SharedLimits = Arc<OnceLock<Arc<dyn FleetLimits>>>;
 
-/// A handle on the decisions of one balancer. Clones share them.
+/// A handle to the decisions of one balancer. Clones share the same state.
 #[derive(Clone)]
 pub struct Dispatcher {
     balancer: Arc<Mutex<Balancer<MailboxEffects>>>,
@@ -159,13 +159,13 @@
 }
 
 /// # Panics
-/// After a panic while it was locked: decisions that are half made cannot be followed by sound ones.
+/// If another thread panicked while it held the lock, because the state may then be inconsistent.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().expect("no panic while deciding")
+    mutex.lock().expect("no thread panicked while holding the lock")
 }
 
 impl Dispatcher {
-    /// Decisions that know no endpoint yet. `seed` is where their random numbers begin.
+    /// Creates a dispatcher that knows no endpoints yet. `seed` initializes its random number generator.
     pub fn new(
         now: Timestamp,
         seed: u64,
@@ -173,7 +173,8 @@
         background: Box<dyn BackgroundEffects>,
     ) -> Dispatcher {
         let mut mailbox = Mailbox::new(now);
-        // Where the simulator sends lists unasked, real discovery has to be asked all the same.
+        // The simulator may send endpoint lists without being asked, but real discovery always has to be
+        // asked.
         mailbox.request_watch();
         let mailbox = Arc::new(Mutex::new(mailbox));
         let limits = SharedLimits::default();
@@ -182,12 +183,12 @@
         Dispatcher { balancer: Arc::new(Mutex::new(balancer)), mailbox, limits }
     }
 
-    /// From now on these limits of the whole fleet hold as well. Only the first call counts.
+    /// Sets limits of the whole fleet that apply from now on. Only the first call has an effect.
     pub fn set_fleet_limits(&self, limits: Arc<dyn FleetLimits>) {
         let _ = self.limits.set(limits);
     }
 
-    /// From now on this share of what all balancers may do together holds.
+    /// Sets this balancer's share of the limits for all balancers.
     pub fn set_fleet_share(&self, share: LeasedFleetShare) {
         lock(&self.mailbox).fleet_share = Some(share);
     }
@@ -206,7 +207,7 @@
         handle(&mut balancer);
     }
 
-    /// Hands over a request. From now on it is owed a final answer.
+    /// Submits a request. Every submitted request gets a final answer.
     pub fn submit(&self, now: Timestamp, new: NewRequest) -> RequestId {
         let request = lock(&self.mailbox).add_request();
         let incoming = IncomingRequest {
@@ -221,24 +222,25 @@
         request
     }
 
-    /// Waits for what is to be done with the request next. After the final answer it is held no longer.
+    /// Waits for the next step of the request. The request is released after its final answer.
     ///
     /// # Cancel safety
-    /// A step that was not returned is returned by the next call. One task at a time may wait for a request.
+    /// A step that was not returned is returned by the next call. Only one task at a time may wait for a
+    /// request.
     pub async fn next_step(&self, request: RequestId) -> NextStep {
         poll_fn(|cx| lock(&self.mailbox).poll_next_step(request, cx)).await
     }
 
-    /// Waits until the attempt is no longer wanted. It is still reported then.
+    /// Waits until the attempt is cancelled. A cancelled attempt must still be reported.
     ///
     /// # Cancel safety
-    /// A cancellation is seen once, by the call that returns.
+    /// A cancellation is returned by one call only.
     pub async fn cancelled(&self, attempt: &Attempt) {
         let key = (attempt.request, attempt.number);
         poll_fn(|cx| lock(&self.mailbox).poll_cancelled(key, cx)).await
     }
 
-    /// A check whether the attempt may still begin: it was not cancelled, and the decisions still want it.
+    /// Returns a check whether the attempt may still begin: it was not cancelled and is still allowed.
     pub fn begin_check(&self, attempt: &Attempt) -> impl Fn(Timestamp) -> bool + Send + 'static {
         let dispatcher = self.clone();
         let (request, number) = (attempt.request, attempt.number);
@@ -248,17 +250,17 @@
         }
     }
 
-    /// Reports how an attempt finished. True where its answer is the request's final one; false also where
-    /// that has been given.
+    /// Reports the end of an attempt. Returns true if its answer is the request's final answer, and false
+    /// also if the request already has one.
     pub fn report_attempt(&self, now: Timestamp, attempt: Attempt, outcome: AttemptOutcome) -> bool {
         let Attempt { endpoint, request, number, decided_at } = attempt;
-        let is_undecided = lock(&self.mailbox).finish_attempt((request, number));
-        let is_final = is_undecided && outcome == AttemptOutcome::Succeeded;
+        let is_unanswered = lock(&self.mailbox).finish_attempt((request, number));
+        let is_final = is_unanswered && outcome == AttemptOutcome::Succeeded;
         let finished = FinishedAttempt {
             request,
             attempt: number,
             endpoint,
-            request_finished: is_final || !is_undecided,
+            request_finished: is_final || !is_unanswered,
             outcome,
             duration: now - decided_at,
         };
@@ -269,18 +271,18 @@
         is_final
     }
 
-    /// The request's body can be sent only once, and an attempt has begun to send it.
+    /// Reports that an attempt has started to send a body that can be sent only once.
     pub fn report_streaming(&self, now: Timestamp, request: RequestId) {
         self.decide(now, |balancer| balancer.on_stream_started(now, request));
     }
 
-    /// The request has no more time. [`Dispatcher::next_step`] gives its final answer once its attempts have
-    /// been reported.
+    /// Ends the request's time now. [`Dispatcher::next_step`] returns the final answer once the request's
+    /// attempts have been reported.
     pub fn expire_now(&self, now: Timestamp, request: RequestId) {
         self.decide(now, |balancer| balancer.expire_now(now, request));
     }
 
-    /// The client has gone, or has its final answer.
+    /// Reports that the client has disconnected or has its final answer.
     pub fn report_client_gone(&self, now: Timestamp, request: RequestId) {
         if lock(&self.mailbox).contains(request) {
             self.decide(now, |balancer| balancer.on_request_abandoned(now, request));
@@ -288,8 +290,8 @@
         }
     }
 
-    /// Drops what nobody fetched of a request. Attempts among it are reported, or they would count as in
-    /// flight for ever.
+    /// Removes a request and the steps that were not fetched. Attempts among them are reported as not sent;
+    /// otherwise they would count as in flight forever.
     fn release(&self, now: Timestamp, request: RequestId) {
         let steps = lock(&self.mailbox).remove_request(request);
         for step in steps {
@@ -299,18 +301,18 @@
         }
     }
 
-    /// Waits until endpoints are to be asked for their load. Each is reported to
-    /// [`Dispatcher::report_load_probe`] in the end.
+    /// Waits until endpoints must be probed for their load. Each probe must be reported to
+    /// [`Dispatcher::report_load_probe`].
     pub async fn load_probes_wanted(&self) -> Vec<EndpointId> {
         poll_fn(|cx| lock(&self.mailbox).poll_load_probes(cx)).await
     }
 
-    /// Reports the load that an endpoint reported, or that it reported none.
+    /// Reports the result of a load probe.
     pub fn report_load_probe(&self, now: Timestamp, result: LoadProbeResult) {
         self.decide(now, |balancer| balancer.on_load_probe_finished(now, result));
     }
 
-    /// Lets time pass, and hands over what discovery has brought. Returns when to be called next.
+    /// Advances the time, applies a discovery event and fires due timers. Returns the time of the next tick.
     pub fn tick(&self, now: Timestamp, event: DiscoveryEvent) -> Option<Timestamp> {
         self.decide(now, |balancer| match event {
             DiscoveryEvent::None => {}
@@ -318,44 +320,44 @@
             DiscoveryEvent::Updates(updates) => balancer.on_endpoint_updates(now, updates),
             DiscoveryEvent::Error => balancer.on_discovery_error(now),
         });
-        // Timers that these set, and that are due at once, go off with the next tick.
+        // Timers that are set here and are already due fire at the next tick.
         let due = lock(&self.mailbox).take_due_timers(now);
         self.decide(now, |balancer| due.into_iter().for_each(|timer| balancer.on_timer(now, timer)));
         lock(&self.mailbox).schedule_next_tick()
     }
 
-    /// Waits until the next tick is wanted sooner than the last one said.
+    /// Waits until a tick is needed earlier than the last tick returned.
     pub async fn earlier_tick_wanted(&self) {
         poll_fn(|cx| lock(&self.mailbox).earlier_tick.poll(cx)).await;
     }
 
-    /// Waits until discovery is to be asked: at the start, and after a call that failed.
+    /// Waits until discovery must be asked: at the start, and after a failed call.
     pub async fn watch_wanted(&self) {
         poll_fn(|cx| lock(&self.mailbox).watch.poll(cx)).await;
     }
 
-    /// Peers report an endpoint as faulty, by evidence from `since` or later.
+    /// Reports a fault that peers found at an endpoint, based on evidence from `since` or later.
     pub fn report_fault(&self, now: Timestamp, endpoint: EndpointId, since: Timestamp) {
         self.decide(now, |balancer| balancer.on_fault_report(now, endpoint, since));
     }
 
-    /// Endpoints that are ejected or on probation.
+    /// Lists the endpoints that are ejected or on probation.
     pub fn ejected_endpoints(&self) -> Vec<EjectedEndpoint> {
         lock(&self.balancer).ejected_endpoints().collect()
     }
 
-    /// How many ready endpoints get no ordinary requests now.
+    /// Returns the number of ready endpoints that currently get no ordinary requests.
     pub fn avoided_endpoints(&self, now: Timestamp) -> usize {
         lock(&self.balancer).avoided_endpoints(now)
     }
 
-    /// What is held for requests that are not over.
+    /// Returns the counts of the state that is held for unfinished requests.
     pub fn pending_counts(&self) -> PendingCounts {
         let undecided = lock(&self.balancer).request_count();
         PendingCounts { undecided, ..lock(&self.mailbox).pending_counts() }
     }
 
-    /// What the endpoints have shown by their own answers.
+    /// Returns what the endpoints' answers have shown.
     pub fn evidence(&self) -> AnswerEvidence {
         let mut balancer = lock(&self.balancer);
         let learned = balancer.learned_state();
@@ -368,20 +370,20 @@
         }
     }
 
-    /// What was learned, as a text that the next process of this balancer may go on from.
+    /// Writes the learned state as text for the next process of this balancer.
     pub fn snapshot(&self, now: Timestamp) -> String {
         let mut balancer = lock(&self.balancer);
         snapshot::write(now, &balancer.learned_state())
     }
 
-    /// Goes on from what another process of this balancer has learned.
+    /// Restores the learned state of another process of this balancer.
     pub fn restore(&self, now: Timestamp, text: &str) {
         let mut balancer = lock(&self.balancer);
         snapshot::read(text, now, &mut balancer.learned_state());
     }
 }
 
-/// Puts what the decisions want into the mailbox, for whoever fetches it.
+/// Stores effects in the mailbox until a task fetches them.
 struct MailboxEffects {
     mailbox: Arc<Mutex<Mailbox>>,
     limits: SharedLimits,
--- a/src/dispatcher/mailbox.rs
+++ b/src/dispatcher/mailbox.rs
@@ -1,4 +1,4 @@
-//! What the decisions want done, until somebody fetches it.
+//! Holds the effects of decisions until a task fetches them.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -7,28 +7,28 @@
 use super::{Attempt, LeasedFleetShare, NextStep, PendingCounts};
 use crate::ids::{AttemptNumber, EndpointId, RequestId, TimerId, Timestamp};
 
-/// One attempt of one request.
+/// Identifies an attempt of a request.
 pub type AttemptKey = (RequestId, AttemptNumber);
 
 pub struct Mailbox {
-    /// The time of the decision that is being made.
+    /// The time of the current decision.
     pub now: Timestamp,
-    /// `None` while the number of balancers is that of the settings.
+    /// `None` while the number of balancers comes from the settings.
     pub fleet_share: Option<LeasedFleetShare>,
     pub earlier_tick: Signal,
     pub watch: Signal,
     requests: BTreeMap<RequestId, RequestSteps>,
-    /// Raised where the attempt is cancelled.
+    /// A signal for each attempt, raised when the attempt is cancelled.
     cancellations: BTreeMap<AttemptKey, Signal>,
     timers: BinaryHeap<Reverse<(Timestamp, TimerId)>>,
     next_tick: Option<Timestamp>,
-    /// Endpoints whose load is to be asked for.
+    /// Endpoints to probe for their load.
     load_probes: VecDeque<EndpointId>,
     load_probe: Signal,
     last_request: u32,
 }
 
-/// What is to be done with one request.
+/// The steps of one request.
 #[derive(Default)]
 struct RequestSteps {
     steps: VecDeque<NextStep>,
@@ -49,7 +49,7 @@
     }
 }
 
-/// Raised once, and seen by the one task that waits for it.
+/// A flag that is raised once and consumed by the single task that waits for it.
 #[derive(Default)]
 pub struct Signal {
     is_raised: bool,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// A request with an id of its own. Ids wrap round after months, and a request lives for seconds.
+    /// Adds a request with a new id. Ids wrap around only after months, while a request lives for seconds.
     pub fn add_request(&mut self) -> RequestId {
         self.last_request = self.last_request.wrapping_add(1);
         let request = RequestId(self.last_request);
@@ -102,7 +102,7 @@
         self.requests.contains_key(&request)
     }
 
-    /// Drops a request, and returns the steps that were not fetched.
+    /// Removes a request and returns the steps that were not fetched.
     pub fn remove_request(&mut self, request: RequestId) -> VecDeque<NextStep> {
         self.requests.remove(&request).map(|steps| steps.steps).unwrap_or_default()
     }
@@ -147,12 +147,12 @@
         }
     }
 
-    /// Whether the attempt was cancelled, or is over.
+    /// Returns whether the attempt was cancelled or has finished.
     pub fn is_cancelled(&self, attempt: AttemptKey) -> bool {
         self.cancellations.get(&attempt).is_none_or(|cancellation| cancellation.is_raised)
     }
 
-    /// The attempt is over. True where its request is still owed a final answer.
+    /// Marks the attempt as finished. Returns true if its request still has no final answer.
     pub fn finish_attempt(&mut self, attempt: AttemptKey) -> bool {
         self.cancellations.remove(&attempt);
         self.requests.get(&attempt.0).is_some_and(|steps| !steps.has_final_step())
@@ -177,7 +177,7 @@
         due
     }
 
-    /// The time of the next timer, which the next tick is to come at.
+    /// Returns the time of the next timer, which is the time of the next tick.
     pub fn schedule_next_tick(&mut self) -> Option<Timestamp> {
         self.next_tick = self.timers.peek().map(|&Reverse((at, _))| at);
         self.next_tick
@@ -196,7 +196,7 @@
         self.load_probe.poll(cx).map(|()| self.load_probes.drain(..).collect())
     }
 
-    /// What is held here; the decisions' own part is left at zero.
+    /// Counts what the mailbox holds, without the `undecided` requests of the balancer.
     pub fn pending_counts(&self) -> PendingCounts {
         PendingCounts {
             requests: self.requests.len(),
--- a/src/effects.rs
+++ b/src/effects.rs
@@ -1,40 +1,42 @@
-//! The interface between the decisions and whoever carries them out: what happens, and what is to be done.
+//! The interface between the decisions and the code that carries them out: events go in, effects come out.
 
 use crate::ids::{
     AttemptNumber, CellId, ClassId, EndpointId, EndpointKindId, KeyHash, RequestId, TenantId, Ticks, TimerId,
     Timestamp, ZoneId,
 };
 
-/// What a balancer can do. Each call is made while an event is handled, and must not call the balancer back.
+/// The actions of a balancer. They are called while an event is handled and must not call back into the
+/// balancer.
 pub trait Effects {
-    /// Sends the request to the endpoint. The attempt's number is how many this request had before.
+    /// Sends the request to the endpoint. The attempt's number is the number of earlier attempts of the
+    /// request.
     fn start_attempt(&mut self, request: RequestId, endpoint: EndpointId);
 
-    /// Gives up an attempt. It still finishes, as [`AttemptOutcome::Cancelled`] or with what it had become by
-    /// then.
+    /// Cancels an attempt. The attempt still finishes, as [`AttemptOutcome::Cancelled`] or with the outcome
+    /// that it already had.
     fn cancel_attempt(&mut self, request: RequestId, attempt: AttemptNumber);
 
-    /// The final answer: the request had no effect that a repeat would do twice. Clients are told to wait for
-    /// `retry_after`.
+    /// Rejects the request as its final answer. The client may send it again without repeating an effect,
+    /// after `retry_after` if that is given.
     fn reject(&mut self, request: RequestId, retry_after: Option<Ticks>);
 
-    /// The final answer: the request failed, and it is unknown whether it ran.
+    /// Fails the request as its final answer. It is unknown whether the request ran.
     fn fail(&mut self, request: RequestId);
 
-    /// Calls the balancer at this time, or as soon after it as possible.
+    /// Sets a timer that fires at this time or as soon as possible after it.
     fn set_timer(&mut self, at: Timestamp, timer: TimerId);
 
-    /// Closes connections to an endpoint that carry no request.
+    /// Closes connections to the endpoint that carry no request.
     fn close_idle_connections(&mut self, endpoint: EndpointId);
 
-    /// Asks discovery for the endpoint list and watches it from then on, until a call fails.
+    /// Asks discovery for the endpoint list and watches it for changes until a call fails.
     fn watch_endpoints(&mut self);
 
     /// Asks an endpoint for its load.
     fn probe_load(&mut self, endpoint: EndpointId);
 
-    /// Counts one more request of the tenant against the limits of the whole fleet. `None`: it is within
-    /// them. Otherwise the time until there should be room for it.
+    /// Counts a request of the tenant against the limits of the whole fleet. Returns `None` if it is within
+    /// them, and otherwise the time until there should be capacity for it.
     fn fleet_limit_wait(&mut self, _now: Timestamp, _tenant: TenantId) -> Option<Ticks> {
         None
     }
@@ -46,21 +48,21 @@
 /// A request as the decisions see it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct IncomingRequest {
-    /// Its id, until its final answer.
+    /// The id of the request, in use until its final answer.
     pub request: RequestId,
-    /// The hash of its key; requests with one key go to the same endpoints where possible.
+    /// The hash of the request's key. Requests with the same key go to the same endpoints where possible.
     pub key: Option<KeyHash>,
-    /// Whose quota it counts against.
+    /// The tenant whose quota the request counts against.
     pub tenant: TenantId,
-    /// What it is worth, and whether it may run again.
+    /// The request class, which determines the value of an answer and whether the request may run again.
     pub class: ClassId,
-    /// How long the client stays, from now on.
+    /// The time that the client waits, counted from now.
     pub timeout: Ticks,
-    /// Expected work in seconds of a standard core.
+    /// The expected work in seconds of a standard core.
     pub cost_estimate: Option<f64>,
 }
 
-/// How an attempt finished.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
     /// The endpoint answered.
@@ -69,82 +71,82 @@
     ErrorAnswer,
     /// The endpoint rejected the request without running it.
     Overloaded,
-    /// It was out when the request's time was over.
+    /// The attempt was in flight when the request's time ended.
     TimedOut,
-    /// No connection came up.
+    /// No connection was established.
     ConnectFailed,
-    /// The connection broke when the request may have run.
+    /// The connection broke when the request may already have run.
     ConnectionReset,
-    /// It was given up on request, after its first byte.
+    /// The attempt was cancelled after its first byte was sent.
     Cancelled,
-    /// It was given up before its first byte.
+    /// The attempt was cancelled before its first byte was sent.
     NotSent,
 }
 
 impl AttemptOutcome {
-    /// Whether it proves that the attempt never ran; all others may have.
+    /// Returns whether the outcome proves that the attempt never ran. After any other outcome it may have.
     pub fn never_ran(self) -> bool {
         matches!(self, AttemptOutcome::Overloaded | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent)
     }
 
-    /// Whether the endpoint, or its system in its place, gave any response.
+    /// Returns whether the endpoint, or its operating system on its behalf, responded in any way.
     pub fn is_response(self) -> bool {
         !matches!(self, AttemptOutcome::Cancelled | AttemptOutcome::TimedOut | AttemptOutcome::NotSent)
     }
 }
 
-/// An attempt that is over.
+/// An attempt that has finished.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FinishedAttempt {
-    /// The request that it was for.
+    /// The request of the attempt.
     pub request: RequestId,
-    /// Its number among the attempts of the request.
+    /// The number of the attempt among those of its request.
     pub attempt: AttemptNumber,
-    /// Where it went.
+    /// The endpoint that it went to.
     pub endpoint: EndpointId,
-    /// The request has its final answer, by this attempt or before.
+    /// Whether the request has its final answer, by this attempt or an earlier event.
     pub request_finished: bool,
-    /// How it finished.
+    /// The outcome of the attempt.
     pub outcome: AttemptOutcome,
-    /// From the decision on it to its end.
+    /// The time from the decision to start the attempt until its end.
     pub duration: Ticks,
 }
 
-/// What a load probe has brought.
+/// The result of a load probe.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadProbeResult {
-    /// Who was asked.
+    /// The endpoint that was probed.
     pub endpoint: EndpointId,
-    /// The requests that it holds, from all balancers; `None` where it did not say.
+    /// The requests that the endpoint holds from all balancers; `None` if it reported no load.
     pub load: Option<f64>,
 }
 
-/// What discovery says of an endpoint.
+/// The status of an endpoint in discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// It gets requests.
+    /// The endpoint gets requests.
     Ready,
-    /// It finishes what it has, and gets nothing new.
+    /// The endpoint finishes its requests and gets no new ones.
     Draining,
-    /// It is gone.
+    /// The endpoint has been removed.
     Removed,
 }
 
-/// An endpoint as discovery names it now.
+/// The current state of an endpoint in discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointUpdate {
-    /// Which endpoint.
+    /// The id of the endpoint.
     pub endpoint: EndpointId,
-    /// Endpoints of one kind make a pool.
+    /// The kind of the endpoint. Endpoints of the same kind form a pool.
     pub kind: EndpointKindId,
-    /// Where it stands.
+    /// The zone of the endpoint.
     pub zone: ZoneId,
-    /// The cell of its zone.
+    /// The cell of the endpoint within its zone.
     pub cell: CellId,
-    /// Capacity relative to other endpoints; over 0.
+    /// The capacity relative to other endpoints, greater than 0.
     pub weight: f64,
-    /// Whether it gets requests.
+    /// Whether the endpoint gets requests.
     pub status: EndpointStatus,
-    /// When its process started; `None` means long ago.
+    /// The start of the endpoint's process; `None` means long ago.
     pub started_at: Option<Timestamp>,
 }
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -1,7 +1,7 @@
 //! One endpoint as a balancer knows it, and the table of all endpoints.
 //!
-//! The state here is kept by concern ([`Health`], [`ConcurrencyLimit`], [`LoadState`], ...). It holds no rule
-//! of its own beyond the transitions of each part: what follows from the state is decided in
+//! The state is divided by concern ([`Health`], [`ConcurrencyLimit`], [`LoadState`], ...). This module
+//! contains only the state transitions; the decisions that follow from the state are made in
 //! [`crate::policy`].
 
 mod health;
@@ -15,50 +15,50 @@
 pub use health::Health;
 pub use table::{EndpointIndex, EndpointTable, RingEntry};
 
-/// An endpoint, with what this balancer has sent to it and heard from it.
+/// An endpoint with the work that this balancer sent to it and the answers that it got.
 pub struct Endpoint {
     pub id: EndpointId,
     pub pool: PoolIndex,
     pub zone: ZoneId,
     pub cell: CellId,
-    /// Capacity relative to other endpoints, as discovery states it.
+    /// The capacity relative to other endpoints, as stated by discovery.
     pub weight: f64,
     pub listing: Listing,
-    /// When its process started; `None` means long ago.
+    /// The start of the endpoint's process; `None` means long ago.
     pub started_at: Option<Timestamp>,
-    /// Attempts of this balancer that are not finished.
+    /// This balancer's attempts that have not finished.
     pub in_flight: u32,
-    /// An attempt was sent since its connections were last closed.
+    /// Whether an attempt was sent since connections to the endpoint were last closed.
     pub has_connections: bool,
-    /// No attempt before this time, after a rejection or a slow answer.
+    /// The end of the pause after a rejection or a slow answer.
     pub overloaded_until: Timestamp,
-    /// The last attempt's connection failed.
+    /// Whether the last response was a failed connection.
     pub refuses_connections: bool,
     pub health: Health,
     pub limit: ConcurrencyLimit,
     pub load: LoadState,
     pub awaiting: AwaitedResponse,
     pub slow_start: SlowStartState,
-    /// When the last attempt of this balancer finished here; [`Timestamp`]'s minimum before the first.
+    /// When this balancer's last attempt here finished; the minimum [`Timestamp`] before the first attempt.
     pub idle_since: Timestamp,
-    /// How long that attempt took.
+    /// The duration of that attempt.
     pub last_duration: Ticks,
-    /// Cost of the attempts sent, within the warm-up time.
+    /// The cost of attempts sent within the warm-up time.
     pub sent: WorkLog,
-    /// Cost of the attempts answered, within the warm-up time.
+    /// The cost of attempts answered within the warm-up time.
     pub answered: WorkLog,
 }
 
-/// What discovery says of an endpoint.
+/// The state of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct Listing {
     pub status: EndpointStatus,
-    /// Dropped from the list without having been draining, where only draining is binding.
+    /// Whether the endpoint was dropped from the list without draining first, where only draining is binding.
     pub is_missing: bool,
     has_drained: bool,
 }
 
-/// The limit on concurrent attempts, for all balancers together; each keeps to its share.
+/// The limit on concurrent attempts for all balancers together. Each balancer uses its share.
 #[derive(Clone, Copy, Debug)]
 pub struct ConcurrencyLimit {
     pub value: f64,
@@ -66,22 +66,22 @@
     pub was_decreased: bool,
 }
 
-/// What load probes have told.
+/// The state of load probes to an endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadState {
     pub reported: Option<ReportedLoad>,
-    /// When the outstanding probe was sent.
+    /// When the probe in flight was sent.
     pub probe_sent_at: Option<Timestamp>,
 }
 
-/// Requests in flight at an endpoint from all balancers, as it reported them.
+/// The requests in flight at an endpoint from all balancers, as it reported them.
 #[derive(Clone, Copy, Debug)]
 pub struct ReportedLoad {
     pub at: Timestamp,
     pub in_flight: f64,
 }
 
-/// For how long an endpoint has owed a response without giving any.
+/// Tracks how long an endpoint has had attempts in flight without responding to any.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AwaitedResponse {
     pub since: Option<Timestamp>,
@@ -89,19 +89,20 @@
     pub max_cost: f64,
 }
 
-/// What spaces out attempts to an endpoint that is warming up.
+/// Timing of attempts to an endpoint that is warming up.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartState {
     /// When this balancer was notified of the endpoint's last start.
     pub notified_at: Timestamp,
-    /// By which fraction of a pacing interval this balancer's first attempt comes early, in 0..1.
+    /// The random fraction of a pacing interval by which this balancer's first attempt is sent early, in
+    /// 0..1.
     pub phase: f64,
-    /// When an attempt of this balancer last ended that the endpoint may still be working on.
+    /// When the last attempt ended that the endpoint may still be working on.
     pub unfinished_at: Option<Timestamp>,
 }
 
 impl Endpoint {
-    /// An endpoint that discovery has just named. `limit` is its initial concurrency limit, `phase` see
+    /// Creates an endpoint from its first update. `limit` is its initial concurrency limit; for `phase` see
     /// [`SlowStartState::phase`].
     pub fn new(now: Timestamp, update: &EndpointUpdate, pool: PoolIndex, limit: f64, phase: f64) -> Endpoint {
         Endpoint {
@@ -128,14 +129,14 @@
         }
     }
 
-    /// Listed as ready, or missing from the list but shown to be up: it has answered, and refused no
-    /// connection since.
+    /// Returns whether the endpoint is listed as ready, or is missing from the list but known to be up: it
+    /// has answered, and its last response was not a failed connection.
     pub fn is_ready(&self) -> bool {
         let is_answering = !self.refuses_connections && self.answered.last().is_some();
         self.listing.status == EndpointStatus::Ready && (!self.listing.is_missing || is_answering)
     }
 
-    /// Discovery calls the endpoint removed, or a snapshot leaves it out.
+    /// Handles the removal of the endpoint by an update, or its absence from a snapshot.
     pub fn on_removed(&mut self, only_draining_binds: bool) {
         let was_ready = self.listing.status == EndpointStatus::Ready;
         self.listing.is_missing = only_draining_binds && was_ready && !self.listing.has_drained;
@@ -144,8 +145,8 @@
         }
     }
 
-    /// Discovery names the endpoint again. True where a new process answers under its name, which is not
-    /// judged by the failures of the process before it.
+    /// Applies an update of a known endpoint. Returns true if its process has restarted; the failures of the
+    /// previous process do not count against the new one.
     pub fn on_update(&mut self, now: Timestamp, update: &EndpointUpdate) -> bool {
         self.listing.status = update.status;
         self.listing.is_missing = false;
@@ -164,8 +165,8 @@
         has_restarted
     }
 
-    /// An attempt is about to be sent. `cost` is its estimate, and `charged_cost` what counts against a
-    /// warm-up budget, both in core seconds.
+    /// Records the start of an attempt. `cost` is its estimate and `charged_cost` the amount that counts
+    /// against a warm-up budget, both in core seconds.
     pub fn on_attempt_started(&mut self, now: Timestamp, cost: f64, charged_cost: f64, warm_up_time: Ticks) {
         self.has_connections = true;
         self.in_flight += 1;
@@ -174,7 +175,7 @@
         self.sent.put(now, warm_up_time, charged_cost);
     }
 
-    /// An attempt has finished, after `duration`.
+    /// Records the end of an attempt and how long it took.
     pub fn on_attempt_finished(&mut self, now: Timestamp, outcome: AttemptOutcome, duration: Ticks) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if may_leave_unfinished_work(outcome) {
@@ -195,7 +196,8 @@
     }
 }
 
-/// After an answer the endpoint has nothing left to do for an attempt, nor where it never got it.
+/// Returns whether the endpoint may still be working on the attempt. It is not after an answer, or if the
+/// attempt never reached it.
 fn may_leave_unfinished_work(outcome: AttemptOutcome) -> bool {
     !matches!(
         outcome,
--- a/src/endpoint/health.rs
+++ b/src/endpoint/health.rs
@@ -1,24 +1,24 @@
-//! Outlier detection's state of one endpoint: healthy, ejected, or on probation.
+//! The health of one endpoint: healthy, ejected or on probation.
 
 use crate::ids::{Ticks, Timestamp};
 
-/// After this many successes in a row earlier ejections are forgotten. Fewer would forget an endpoint that
-/// flaps.
+/// After this many consecutive successes, earlier ejections no longer count. With a lower number, an endpoint
+/// that flaps would seem healthy.
 const SUCCESSES_TO_FORGET_EJECTIONS: u32 = 8;
-/// Peers can defer the first probe request by at most this many latency objectives, so that no report keeps
-/// an endpoint out for good.
+/// Peers can defer the first probe request by at most this many latency objectives, so that their reports
+/// cannot keep an endpoint ejected forever.
 const MAX_DEFERRAL_OBJECTIVES: f64 = 4.0;
 
-/// Whether an endpoint gets ordinary requests.
+/// Determines whether an endpoint gets ordinary requests.
 ///
-/// A failure ejects it; after a wait it is on probation and gets single probe requests; after enough
-/// successes it is healthy again.
+/// A failure ejects the endpoint. After a wait it is on probation and gets single probe requests, and after
+/// enough successes it is healthy again.
 #[derive(Clone, Copy, Debug)]
 pub struct Health {
     state: State,
     /// When probation begins, if the endpoint is ejected then.
     probe_after: Timestamp,
-    /// Peers have reported the endpoint since it was listed.
+    /// Whether peers have reported the endpoint since it was listed.
     peer_reported: bool,
     consecutive_ejections: u32,
     consecutive_successes: u32,
@@ -27,12 +27,12 @@
 #[derive(Clone, Copy, Debug)]
 enum State {
     Healthy,
-    /// Ejected, and from `probe_after` on on probation.
+    /// Ejected until `probe_after`, and on probation from then on.
     Ejected {
-        /// Successes that end it; at least one.
+        /// The successes needed to end probation; at least one.
         successes_required: u32,
         since: Timestamp,
-        /// No failure was seen by this balancer.
+        /// Whether this balancer has seen no failure itself.
         by_peers_only: bool,
     },
 }
@@ -52,23 +52,23 @@
         matches!(self.state, State::Healthy)
     }
 
-    /// Ejected, and not yet on probation.
+    /// Returns whether the endpoint is ejected and not yet on probation.
     pub fn is_ejected(&self, now: Timestamp) -> bool {
         !self.is_healthy() && now < self.probe_after
     }
 
-    /// The earliest time of the next probe request.
+    /// Returns the earliest time of the next probe request.
     pub fn probe_after(&self) -> Timestamp {
         self.probe_after
     }
 
-    /// Not healthy, and reported by peers too: many balancers would probe it at once, so each failed probe
-    /// counts.
+    /// Returns whether the endpoint is unhealthy and also reported by peers. Many balancers would probe it at
+    /// the same time, so each failed probe request counts.
     pub fn is_ejected_by_peers_too(&self) -> bool {
         !self.is_healthy() && self.peer_reported
     }
 
-    /// Not healthy on the reports of peers alone.
+    /// Returns whether the endpoint is unhealthy on reports by peers alone.
     pub fn is_ejected_by_peers_only(&self) -> bool {
         matches!(self.state, State::Ejected { by_peers_only: true, .. })
     }
@@ -77,8 +77,8 @@
         self.consecutive_ejections
     }
 
-    /// A failure seen by this balancer: out until `probe_after`, then on probation for
-    /// `successes_required(ejections in a row)`.
+    /// Ejects the endpoint for a failure that this balancer has seen. It is ejected until `probe_after`, and
+    /// on probation for `successes_required(consecutive_ejections)` successes after that.
     pub fn eject(&mut self, now: Timestamp, probe_after: Timestamp, successes_required: impl Fn(u32) -> u32) {
         self.consecutive_ejections += 1;
         self.consecutive_successes = 0;
@@ -87,8 +87,9 @@
         self.state = State::Ejected { successes_required, since: now, by_peers_only: false };
     }
 
-    /// Peers report the endpoint: it has to succeed once before it is healthy, and its next probe request
-    /// waits until `probe_after`, within [`MAX_DEFERRAL_OBJECTIVES`] of the ejection.
+    /// Handles a fault report by peers. The endpoint needs one success to be healthy again. Its next probe
+    /// request waits until `probe_after`, but at most [`MAX_DEFERRAL_OBJECTIVES`] latency objectives after
+    /// the ejection.
     pub fn on_peer_report(&mut self, now: Timestamp, probe_after: Timestamp, latency_objective: Ticks) {
         let ejected_since = match self.state {
             State::Ejected { since, .. } => since,
@@ -102,7 +103,7 @@
         self.probe_after = self.probe_after.max(probe_after.min(latest));
     }
 
-    /// The endpoint has succeeded. True where that ends its probation.
+    /// Records a success. Returns true if it ends the probation.
     pub fn on_success(&mut self) -> bool {
         self.consecutive_successes += 1;
         if self.consecutive_successes >= SUCCESSES_TO_FORGET_EJECTIONS {
@@ -117,7 +118,7 @@
         has_recovered
     }
 
-    /// A new process answers under the endpoint's name: it is probed at once, and its ejections count anew.
+    /// Handles a restart of the endpoint's process: it is probed immediately, and its ejections are reset.
     pub fn on_restart(&mut self, now: Timestamp) {
         self.probe_after = now;
         self.consecutive_ejections = 0;
--- a/src/endpoint/table.rs
+++ b/src/endpoint/table.rs
@@ -1,4 +1,4 @@
-//! The table of endpoints, and their order on each pool's ring.
+//! The table of endpoints, and the order of endpoints on the ring of each pool.
 
 use std::collections::BTreeMap;
 use std::ops::{Index, IndexMut};
@@ -8,14 +8,15 @@
 use crate::ids::{EndpointId, Timestamp};
 use crate::rng::mix;
 
-/// A row of the [`EndpointTable`]. It is never given to another endpoint: measurements refer to their
-/// endpoint by it.
+/// Identifies a row of the [`EndpointTable`]. An index is never reused for another endpoint, because
+/// measurements refer to their endpoint by it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EndpointIndex(usize);
 
-/// The low bits of an [`EndpointIndex`] are its slot; above them stands how often the slot was reused.
+/// The low bits of an [`EndpointIndex`] are the slot; the bits above them count how often the slot was
+/// reused.
 const SLOT_BITS: u32 = 24;
-const EVICTED: &str = "an endpoint is evicted after all that refers to it";
+const EVICTED: &str = "an endpoint is evicted only after everything that refers to it";
 
 impl EndpointIndex {
     fn new(generation: usize, slot: usize) -> EndpointIndex {
@@ -31,7 +32,7 @@
     }
 }
 
-/// An endpoint's place on the ring of its pool.
+/// The position of an endpoint on the ring of its pool.
 #[derive(Clone, Copy, Debug)]
 pub struct RingEntry {
     pub id: EndpointId,
@@ -39,7 +40,7 @@
 }
 
 impl RingEntry {
-    /// The endpoint's number in hashes: the same at every balancer.
+    /// Returns the endpoint's number for hashing, which is the same at every balancer.
     pub fn hash_key(&self) -> u64 {
         u64::from(self.id.0)
     }
@@ -50,7 +51,7 @@
     endpoint: Option<Endpoint>,
 }
 
-/// The endpoints that discovery names, or named recently.
+/// The endpoints that discovery lists or recently listed.
 #[derive(Default)]
 pub struct EndpointTable {
     slots: Vec<Slot>,
@@ -58,7 +59,7 @@
 }
 
 impl EndpointTable {
-    /// Adds an endpoint that has no row yet.
+    /// Adds an endpoint that is not in the table.
     pub fn insert(&mut self, endpoint: Endpoint) -> EndpointIndex {
         let id = endpoint.id;
         let free = self.slots.iter().position(|slot| slot.endpoint.is_none());
@@ -75,33 +76,33 @@
         index
     }
 
-    /// The row of an endpoint, also of one that was removed and not evicted yet.
+    /// Returns the index of an endpoint, including removed endpoints that have not been evicted.
     pub fn index_of(&self, id: EndpointId) -> Option<EndpointIndex> {
         self.index_of.get(&id).copied()
     }
 
-    /// No endpoint was ever listed, or all were evicted.
+    /// Returns whether the table has no endpoints: none was listed, or all were evicted.
     pub fn is_empty(&self) -> bool {
         self.index_of.is_empty()
     }
 
-    /// Whether the row still holds its endpoint.
+    /// Returns whether the endpoint of this index is still in the table.
     pub fn contains(&self, index: EndpointIndex) -> bool {
         let slot = self.slots.get(index.slot());
         slot.is_some_and(|slot| slot.generation == index.generation() && slot.endpoint.is_some())
     }
 
-    /// The row of a ready endpoint.
+    /// Returns the index of an endpoint if it is ready.
     pub fn ready_index_of(&self, id: EndpointId) -> Option<EndpointIndex> {
         self.ready().find(|(_, endpoint)| endpoint.id == id).map(|(index, _)| index)
     }
 
-    /// See [`Endpoint::is_ready`].
+    /// Iterates over the endpoints that are ready; see [`Endpoint::is_ready`].
     pub fn ready(&self) -> impl Iterator<Item = (EndpointIndex, &Endpoint)> {
         self.listed().filter(|(_, endpoint)| endpoint.is_ready())
     }
 
-    /// Endpoints that are listed as ready, or were when they went missing.
+    /// Iterates over the endpoints that are listed as ready, or were when they went missing.
     fn listed(&self) -> impl Iterator<Item = (EndpointIndex, &Endpoint)> {
         let rows = self.slots.iter().enumerate().filter_map(|(number, slot)| {
             let endpoint = slot.endpoint.as_ref()?;
@@ -114,15 +115,16 @@
         self.slots.iter_mut().filter_map(|slot| slot.endpoint.as_mut())
     }
 
-    /// True while the healthy endpoints without this one hold half of the ready weight. Where most look
-    /// unhealthy, the fault is not theirs, and the rest would be overloaded without them.
+    /// Returns whether the healthy endpoints other than this one hold at least half of the ready weight. If
+    /// most endpoints look unhealthy, the cause is not the endpoints, and the remaining ones would be
+    /// overloaded.
     pub fn can_spare(&self, index: EndpointIndex) -> bool {
         let ready: f64 = self.ready().map(|(_, endpoint)| endpoint.weight).sum();
         let others = self.ready().filter(|(other, endpoint)| endpoint.health.is_healthy() && *other != index);
         others.map(|(_, endpoint)| endpoint.weight).sum::<f64>() * 2.0 >= ready
     }
 
-    /// The listed endpoints of each pool in the order of a hash of their ids, which is the same at every
+    /// Returns the listed endpoints of each pool, ordered by a hash of their ids that is the same at every
     /// balancer.
     pub fn rings(&self, pool_count: usize) -> Vec<Vec<RingEntry>> {
         let mut rings = vec![Vec::new(); pool_count];
@@ -135,9 +137,8 @@
         rings
     }
 
-    /// Decides what becomes of endpoints that are missing from the list. A list that drops more than it keeps
-    /// is doubtful, and removes nothing. Any other removes what it drops, except endpoints that have answered
-    /// since `recent`.
+    /// Removes endpoints that are missing from the list, except those that have answered since `recent` and
+    /// are still ready. A list that drops more endpoints than it keeps is not trusted and removes none.
     pub fn resolve_missing(&mut self, recent: Timestamp) {
         let ready = self.iter_mut().filter(|endpoint| endpoint.listing.status == EndpointStatus::Ready);
         let (missing, kept): (Vec<_>, Vec<_>) = ready.partition(|endpoint| endpoint.listing.is_missing);
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Evicts endpoints that are removed, have nothing in flight, and fulfil `is_obsolete`.
+    /// Evicts endpoints that are removed, have nothing in flight and satisfy `is_obsolete`.
     pub fn evict(&mut self, is_obsolete: impl Fn(&Endpoint) -> bool) {
         for slot in &mut self.slots {
             slot.endpoint.take_if(|endpoint| {
@@ -175,7 +176,7 @@
     type Output = Endpoint;
 
     /// # Panics
-    /// Where the endpoint was evicted.
+    /// If the endpoint was evicted.
     fn index(&self, index: EndpointIndex) -> &Endpoint {
         let slot = &self.slots[index.slot()];
         slot.endpoint.as_ref().filter(|_| slot.generation == index.generation()).expect(EVICTED)
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers, each a type of its own, and times in whole tenths of a millisecond.
+//! Typed identifiers, and times in units of 0.1 ms.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
@@ -12,33 +12,33 @@
 }
 
 ids! {
-    /// A request in this balancer.
+    /// Identifies a request within this balancer.
     RequestId(u32),
-    /// One instance of the service behind the balancer.
+    /// Identifies one instance of the service behind the balancer.
     EndpointId(u32),
-    /// The number of an attempt of a request, from 0.
+    /// The number of an attempt among those of its request, from 0.
     AttemptNumber(u16),
-    /// A timer that the decisions have set.
+    /// Identifies a timer.
     TimerId(u64),
-    /// A kind of endpoint, by its place in the settings.
+    /// An endpoint kind, by its index in the settings.
     EndpointKindId(u16),
-    /// A zone, by its place in the settings.
+    /// A zone, by its index in the settings.
     ZoneId(u16),
-    /// A cell of a zone.
+    /// Identifies a cell within a zone.
     CellId(u16),
-    /// A request class, by its place in the settings.
+    /// A request class, by its index in the settings.
     ClassId(u16),
-    /// A tenant, by its place in the settings.
+    /// A tenant, by its index in the settings.
     TenantId(u16),
     /// The hash of a request's key.
     KeyHash(u64),
 }
 
-/// A point in time, in tenths of a millisecond since an epoch that the caller chooses.
+/// A point in time, in units of 0.1 ms since an epoch that the caller chooses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Timestamp(pub i64);
 
-/// A length of time, in tenths of a millisecond. It may be negative.
+/// A duration in units of 0.1 ms. It can be negative.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Ticks(pub i64);
 
@@ -47,31 +47,31 @@
 const MICROSECONDS_PER_TICK: u64 = 100;
 
 impl Ticks {
-    /// No time.
+    /// A duration of zero.
     pub const ZERO: Ticks = Ticks(0);
 
-    /// Rounds to the nearest tick.
+    /// Converts seconds to ticks, rounded to the nearest tick.
     pub fn from_secs_f64(secs: f64) -> Ticks {
         Ticks((secs * TICKS_PER_SECOND).round() as i64)
     }
 
-    /// In seconds.
+    /// Returns the duration in seconds.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / TICKS_PER_SECOND
     }
 
-    /// Whole milliseconds, rounded towards zero.
+    /// Returns the duration in whole milliseconds, rounded towards zero.
     pub fn as_millis(self) -> i64 {
         self.0 / TICKS_PER_MILLISECOND
     }
 
-    /// Rounds to the nearest tick.
+    /// Multiplies the duration and rounds to the nearest tick.
     pub fn mul_f64(self, factor: f64) -> Ticks {
         Ticks((self.0 as f64 * factor).round() as i64)
     }
 }
 
-/// A negative length becomes zero.
+/// Converts a negative duration to zero.
 impl From<Ticks> for Duration {
     fn from(ticks: Ticks) -> Duration {
         Duration::from_micros(ticks.0.max(0) as u64 * MICROSECONDS_PER_TICK)
@@ -79,12 +79,12 @@
 }
 
 impl Timestamp {
-    /// Rounds to the nearest tick.
+    /// Converts seconds since the epoch, rounded to the nearest tick.
     pub fn from_secs_f64(secs: f64) -> Timestamp {
         Timestamp(Ticks::from_secs_f64(secs).0)
     }
 
-    /// In seconds since the epoch.
+    /// Returns the time in seconds since the epoch.
     pub fn as_secs_f64(self) -> f64 {
         Ticks(self.0).as_secs_f64()
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,7 @@
-//! The routing decisions of doorproxy, apart from any protocol that carries them.
+//! The routing decisions of doorproxy, independent of the protocol.
 //!
-//! [`policy`] decides, and acts through [`effects`]. [`dispatcher`] carries the decisions to network code
-//! that is written from top to bottom. [`settings`] is what both are told at their start. Nothing here does
-//! I/O.
+//! [`policy`] makes the decisions and acts through [`effects`]. [`dispatcher`] makes them available to
+//! asynchronous network code. [`settings`] configures both at the start. Nothing in this crate does I/O.
 
 #![warn(missing_docs)]
 
--- a/src/request.rs
+++ b/src/request.rs
@@ -1,54 +1,56 @@
-//! What a balancer keeps of a request until its final answer.
+//! The state of a request until its final answer.
 
 use crate::effects::IncomingRequest;
 use crate::endpoint::{Endpoint, EndpointIndex};
 use crate::ids::{CellId, Timestamp, ZoneId};
 use crate::settings::DedupScope;
 
-/// How far a request has come. A finished one is no longer kept.
+/// The progress of a request that has not finished.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// It has an attempt in flight, or is being placed.
+    /// The request has an attempt in flight or is being placed.
     InFlight,
-    /// It waits in the queue; no attempt of it can have run.
+    /// The request waits in the queue. None of its attempts can have run.
     Waiting,
 }
 
-/// A request that has no final answer yet.
+/// A request without a final answer.
 pub struct Request {
     pub incoming: IncomingRequest,
-    /// Cost estimate in core seconds; the mean of others where the request came without one.
+    /// The cost estimate in core seconds, or the mean of other requests' estimates if the request has none.
     pub cost: f64,
-    /// An answer by then meets the latency objective.
+    /// The time by which an answer meets the latency objective.
     pub objective_at: Timestamp,
-    /// The client gives up then.
+    /// The time at which the client gives up.
     pub deadline: Timestamp,
-    /// The class's weight, less where the tenant is over its quota.
+    /// The weight of the class, reduced if the tenant is over its quota.
     pub priority_weight: f64,
     pub attempts: Vec<Attempt>,
     pub progress: Progress,
-    /// An attempt has begun to send a body that can be sent only once. This may be learned after that attempt
-    /// has failed.
+    /// Whether an attempt has started to send a body that can be sent only once. This can become known after
+    /// that attempt has failed.
     pub is_streaming: bool,
-    /// While waiting: rejected if it is not placed by then. In flight: the time of a hedged request.
+    /// While waiting: the time at which the request is rejected if it has not been placed. In flight: the
+    /// time of a hedged request.
     pub due_at: Timestamp,
     pub load_probes: LoadProbes,
 }
 
-/// What a request has spent on learning loads.
+/// Load probes that were sent or awaited for a request.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadProbes {
-    /// Probes sent for it since it was last deferred.
+    /// Probes sent since the request was last deferred.
     pub sent: u8,
-    /// How often it was deferred because no endpoint had room.
+    /// How often the request was deferred because no endpoint had capacity.
     pub deferrals: u32,
-    /// The endpoint whose load it waits for.
+    /// The endpoint whose load the request waits for.
     pub awaited: Option<EndpointIndex>,
-    /// It is not placed again before then, unless the awaited load arrives.
+    /// The request is not placed again before this time unless the awaited load arrives.
     pub retry_at: Timestamp,
 }
 
-/// One attempt, with where its endpoint stood then: another endpoint may have its name by now.
+/// An attempt, with the zone and cell that its endpoint had when it started. The endpoint's id may since have
+/// passed to an instance elsewhere.
 #[derive(Clone, Copy)]
 pub struct Attempt {
     pub endpoint: EndpointIndex,
@@ -89,7 +91,7 @@
         self.attempts.iter().any(|attempt| attempt.is_in_flight)
     }
 
-    /// Whether an attempt that is over may have run.
+    /// Returns whether a finished attempt may have run.
     pub fn may_have_run(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.may_have_run)
     }
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Whether a repeat at `endpoint` is recognized as one of this attempt, and dropped there.
+    /// Returns whether a repeat at `endpoint` is recognized as a duplicate of this attempt and dropped.
     pub fn shares_scope(&self, scope: DedupScope, endpoint: &Endpoint) -> bool {
         match scope {
             DedupScope::All => true,
--- a/src/route_table.rs
+++ b/src/route_table.rs
@@ -1,34 +1,34 @@
-//! The route table: which pool of endpoints a request belongs to by its content.
+//! The route table: assigns requests to pools of endpoints by cost estimate and key.
 //!
-//! The table is made once, from the first endpoints that discovery names, and is the same at every balancer.
-//! `docs/design.md` cites the paper that it comes from.
+//! The table is built once from the first endpoint list and is the same at every balancer. `docs/design.md`
+//! cites the paper that it is based on.
 
 use std::collections::BTreeMap;
 
 use crate::effects::{EndpointStatus, EndpointUpdate};
 use crate::ids::EndpointKindId;
 
-/// The place of a pool in the route table. Each pool holds the endpoints of one kind.
+/// The index of a pool in the route table. Each pool holds the endpoints of one kind.
 pub type PoolIndex = usize;
 
-/// Takes what no other pool owns.
+/// The pool for requests that belong to no other pool.
 pub const DEFAULT_POOL: PoolIndex = 0;
-/// Takes requests with a small cost estimate.
+/// The pool for requests with a small cost estimate.
 pub const SMALL_POOL: PoolIndex = 1;
 /// The first of the pools that own a range of key slots.
 const FIRST_RANGE_POOL: PoolIndex = 2;
 
-/// Endpoint kinds as pools: default, small, then the ranges.
+/// Maps endpoint kinds to pools: the default pool, the small pool, then the range pools.
 pub struct RouteTable {
     pub kinds: Vec<EndpointKindId>,
-    /// For each range pool the last key slot that it owns, inclusive. A range begins behind the one before
-    /// it; slots above the last range belong to the default pool.
+    /// The last key slot of each range pool, inclusive. A range starts after the end of the previous one;
+    /// slots above the last range belong to the default pool.
     pub range_ends: Vec<u64>,
-    /// The small pool's fraction of all weight, in 0..=1.
+    /// The small pool's fraction of the total weight, in 0..=1.
     pub small_pool_ratio: f64,
 }
 
-/// How many endpoints of a kind are listed, and their weights together.
+/// The number of listed endpoints of a kind and the sum of their weights.
 #[derive(Clone, Copy, Default)]
 struct KindTotal {
     count: usize,
@@ -36,8 +36,9 @@
 }
 
 impl RouteTable {
-    /// The table for these endpoints: the kind with most endpoints is the default pool, the next one the
-    /// small pool, and the others own ranges, in the order of their ids. Ties go by weight, then by id.
+    /// Builds the table from these endpoints. The kind with the most endpoints is the default pool, the
+    /// second the small pool, and the others are range pools in the order of their ids. Ties are resolved by
+    /// weight, then by id.
     pub fn new(updates: &[EndpointUpdate]) -> RouteTable {
         let totals = totals_by_kind(updates);
         let mut kinds: Vec<EndpointKindId> = totals.keys().copied().collect();
@@ -65,12 +66,12 @@
         self.kinds.len() > SMALL_POOL
     }
 
-    /// The pool of a kind; a kind that was not listed at first belongs to the default pool.
+    /// Returns the pool of a kind. A kind that was not in the first list belongs to the default pool.
     pub fn pool_of_kind(&self, kind: EndpointKindId) -> PoolIndex {
         self.kinds.iter().position(|&known| known == kind).unwrap_or(DEFAULT_POOL)
     }
 
-    /// The pool that owns a slot of the hashed key space.
+    /// Returns the pool that owns a slot of the hashed key space.
     pub fn pool_of_slot(&self, slot: u64) -> PoolIndex {
         let range = self.range_ends.iter().position(|&end| slot <= end);
         range.map_or(DEFAULT_POOL, |range| FIRST_RANGE_POOL + range)
@@ -87,7 +88,7 @@
     totals
 }
 
-/// The last slot of each range, where default pool and ranges share the whole key space by weight.
+/// Returns the last slot of each range. The default pool and the range pools divide the key space by weight.
 fn range_ends(range_weights: impl Iterator<Item = f64>, shared_weight: f64) -> Vec<u64> {
     let mut weight_below = 0.0;
     let end_of_range = |weight: f64| {
--- a/src/samples.rs
+++ b/src/samples.rs
@@ -4,7 +4,7 @@
 
 use crate::ids::{Ticks, Timestamp};
 
-/// At most `N` samples; the oldest leaves first.
+/// At most `N` samples. A new sample replaces the oldest.
 pub struct SampleWindow<T, const N: usize>(VecDeque<T>);
 
 impl<T: Copy, const N: usize> Default for SampleWindow<T, N> {
@@ -41,7 +41,8 @@
         self.0.is_empty()
     }
 
-    /// The quantile `fraction` (0..=1) of `value` over the samples that have one; `None` where none has.
+    /// Returns the quantile `fraction` (0..=1) of `value` over the samples for which it is `Some`, or `None`
+    /// if there are none.
     pub fn quantile(&self, fraction: f64, value: impl Fn(&T) -> Option<f64>) -> Option<f64> {
         let mut values = [0.0; N];
         let mut len = 0;
@@ -55,26 +56,26 @@
     }
 }
 
-/// Amounts of work, in core seconds, and when each came; the oldest first.
+/// Amounts of work in core seconds with the time of each, oldest first.
 #[derive(Default)]
 pub struct WorkLog(VecDeque<(Timestamp, f64)>);
 
-/// Entries of a [`WorkLog`] within a window.
+/// The entries of a [`WorkLog`] within a window.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WorkTotal {
     pub count: usize,
-    /// Core seconds.
+    /// The sum of the work in core seconds.
     pub work: f64,
 }
 
 impl WorkLog {
-    /// Adds an amount, and drops those that are older than `retention`.
+    /// Adds an amount and drops entries older than `retention`.
     pub fn put(&mut self, now: Timestamp, retention: Ticks, work: f64) {
         while self.0.pop_front_if(|(at, _)| now - *at >= retention).is_some() {}
         self.0.push_back((now, work));
     }
 
-    /// When the latest amount came.
+    /// Returns the time of the latest entry.
     pub fn last(&self) -> Option<Timestamp> {
         self.0.back().map(|&(at, _)| at)
     }
@@ -83,7 +84,7 @@
         self.0.iter().copied().filter(move |(at, _)| *at >= earliest)
     }
 
-    /// What came within the window that ends now.
+    /// Returns the total within the window that ends now.
     pub fn within(&self, now: Timestamp, window: Ticks) -> WorkTotal {
         let recent = self.0.iter().rev().take_while(|(at, _)| now - *at < window);
         recent.fold(WorkTotal::default(), |total, (_, work)| WorkTotal {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a balancer is configured with at its start.
+//! The configuration of a balancer.
 
 pub mod decode;
 mod discovery_timing;
@@ -8,35 +8,35 @@
 
 pub use discovery_timing::DiscoveryTiming;
 
-/// Where a repeat is recognized and dropped.
+/// The set of endpoints within which a repeat is recognized and dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// At any endpoint.
+    /// All endpoints.
     All,
-    /// At endpoints of the same zone.
+    /// Endpoints in the same zone.
     Zone,
-    /// At endpoints of the same cell.
+    /// Endpoints in the same cell.
     Cell,
 }
 
 /// Whether a request may run again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// Repeats are dropped within the scope, for this long after the first attempt.
+    /// Repeats are dropped within the scope and the window.
     Deduplicated {
-        /// Where a repeat is recognized.
+        /// The endpoints at which a repeat is recognized.
         scope: DedupScope,
-        /// For how long after the first attempt.
+        /// How long after the first attempt a repeat is recognized.
         window: Ticks,
     },
-    /// It must not run twice.
+    /// The request must not run twice.
     NonIdempotent,
 }
 
 impl Idempotency {
-    /// How much a failure may lose; the least is 0.
+    /// Returns the risk of a failed attempt, from 0 for the lowest.
     pub fn retry_risk(self) -> u8 {
         match self {
             Idempotency::Idempotent => 0,
@@ -46,41 +46,41 @@
     }
 }
 
-/// A class of requests.
+/// The settings of a request class.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// What a timely answer is worth.
+    /// The value of a timely answer.
     pub priority_weight: f64,
-    /// An answer within this time is timely.
+    /// The time within which an answer is timely.
     pub latency_objective: Ticks,
-    /// The objective grows by this multiple of the request's own cost.
+    /// The multiple of a request's cost that is added to its latency objective.
     pub objective_stretch_factor: f64,
-    /// How long a client waits that does not say so itself.
+    /// The timeout of requests that state none.
     pub timeout: Ticks,
-    /// The part of the weight that an answer after the objective still has, in 0..=1.
+    /// The fraction of the weight that an answer after the objective still has, in 0..=1.
     pub late_weight_ratio: f64,
     /// Whether a request may run again.
     pub idempotency: Idempotency,
 }
 
-/// How endpoints warm up after their start.
+/// The capacity of endpoints while they warm up.
 #[derive(Clone, Debug)]
 pub struct SlowStart {
-    /// The part of a warming endpoint's spare work that is left to the balancers among which it is shared, in
-    /// 0..=1.
+    /// The fraction of a warming endpoint's spare work that the balancers sharing it may use, in 0..=1.
     pub fleet_ratio: f64,
     /// The fraction of its capacity that an endpoint has at its start.
     pub initial_fraction: f64,
-    /// Until it has all of it.
+    /// The time from its start until an endpoint has its full capacity.
     pub warm_up_time: Ticks,
-    /// An endpoint falls over that gets this multiple of its capacity...
+    /// The multiple of its current capacity at which an endpoint fails if it receives that much within the
+    /// overload window.
     pub overload_factor: f64,
-    /// ...in this time.
+    /// The length of the overload window.
     pub overload_window: Ticks,
 }
 
 impl SlowStart {
-    /// The fraction of its capacity that an endpoint is sure to have by now, in 0..=1.
+    /// Returns the fraction of its capacity that an endpoint is certain to have reached, in 0..=1.
     pub fn capacity_fraction(&self, now: Timestamp, started_at: Option<Timestamp>) -> f64 {
         let Some(started_at) = started_at else { return 1.0 };
         let warmed = (now - started_at).as_secs_f64() / self.warm_up_time.as_secs_f64().max(1e-4);
@@ -91,90 +91,93 @@
 /// The settings of one balancer.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// By their place in the configuration.
+    /// The request classes, in the order of the configuration.
     pub classes: Vec<RequestClass>,
-    /// Requests a second of each tenant, through all balancers, that have their full weight.
+    /// For each tenant, the requests per second through all balancers that get their full weight.
     pub tenant_quotas: Vec<f64>,
-    /// Balancers before the same endpoints.
+    /// The number of balancers in front of the same endpoints.
     pub balancer_count: u32,
-    /// The place of this balancer among them, from 0.
+    /// The index of this balancer among them, from 0.
     pub balancer_index: u32,
-    /// What is left of a request's weight beyond its tenant's quota.
+    /// The factor on the weight of requests beyond their tenant's quota.
     pub over_quota_factor: f64,
-    /// Attempts of one request, the first included.
+    /// The most attempts of one request, the first included.
     pub max_attempts: u16,
-    /// Whether a second attempt may be sent beside a slow one.
+    /// Whether a hedged request may be sent in addition to a slow attempt.
     pub hedging_enabled: bool,
-    /// Whether attempts are cancelled whose request is over.
+    /// Whether attempts are cancelled when their request has finished.
     pub cancellation_enabled: bool,
-    /// An attempt may begin this much later than it was decided on, where a connection has to come up first.
+    /// The longest delay between the decision to start an attempt and its first byte, while a connection is
+    /// established.
     pub connect_timeout: Ticks,
-    /// The longest retry-after that clients follow; `None` where they are given none.
+    /// The longest retry-after that clients follow; `None` if they are given none.
     pub max_retry_after: Option<Ticks>,
-    /// Where endpoints report their load, but only to probes: its place among a report's values.
+    /// The index of the load among the values of a report, if endpoints report their load only to probes.
     pub load_report_field: Option<usize>,
-    /// Neither open connections nor new ones cost anything.
+    /// Whether both open and new connections are free of cost.
     pub connections_free: bool,
-    /// What a probe for each request costs, as a part of all weight.
+    /// The cost of one probe per request, as a fraction of all weight.
     pub probe_cost_ratio: f64,
     /// The zone of this balancer, if it is configured.
     pub zone: Option<ZoneId>,
     /// Whether discovery has to be asked for the endpoint list.
     pub discovery_polled: bool,
-    /// An endpoint that goes missing from the list without having been draining may still be sent requests.
+    /// Whether an endpoint that goes missing from the list without draining first may still be sent requests.
     pub only_draining_binds: bool,
-    /// Discovery is asked at least this often.
+    /// The longest interval between discovery calls.
     pub max_poll_interval: Ticks,
-    /// How endpoints warm up.
+    /// The capacity of endpoints while they warm up.
     pub slow_start: SlowStart,
 }
 
 impl Settings {
+    /// Returns the settings of a class.
+    ///
     /// # Panics
-    /// Where there is no such class; see [`Settings::has_class`].
+    /// If the class does not exist; see [`Settings::has_class`].
     pub fn class(&self, id: ClassId) -> &RequestClass {
         &self.classes[usize::from(id.0)]
     }
 
-    /// Whether there is such a class.
+    /// Returns whether the class exists.
     pub fn has_class(&self, id: ClassId) -> bool {
         usize::from(id.0) < self.classes.len()
     }
 
-    /// The load that a report tells, where endpoints report it to probes.
+    /// Returns the load in a report, if endpoints report it to probes and it is valid.
     pub fn load_from_report(&self, report: &[f64]) -> Option<f64> {
         let load = self.load_report_field.and_then(|field| report.get(field)).copied();
         load.filter(|load| load.is_finite() && *load >= 0.0)
     }
 
-    /// The longest timeout of any class; zero without classes.
+    /// Returns the longest timeout of any class, or zero without classes.
     pub fn max_timeout(&self) -> Ticks {
         self.classes.iter().map(|class| class.timeout).max().unwrap_or(Ticks::ZERO)
     }
 
-    /// The shortest latency objective of any class; zero without classes.
+    /// Returns the shortest latency objective of any class, or zero without classes.
     pub fn min_latency_objective(&self) -> Ticks {
         self.classes.iter().map(|class| class.latency_objective).min().unwrap_or(Ticks::ZERO)
     }
 
-    /// The longest latency objective of any class.
+    /// Returns the longest latency objective of any class.
     pub fn max_latency_objective(&self) -> Option<Ticks> {
         self.classes.iter().map(|class| class.latency_objective).max()
     }
 
-    /// The largest weight of any class; over 0.
+    /// Returns the largest weight of any class; always greater than 0.
     pub fn max_priority_weight(&self) -> f64 {
         self.classes.iter().map(|class| class.priority_weight).fold(f64::MIN_POSITIVE, f64::max)
     }
 
-    /// How discovery is asked: the same at each start of this balancer, and different from balancer to
-    /// balancer.
+    /// Returns the timing of discovery calls. It is the same at each start of this balancer and differs
+    /// between balancers.
     pub fn discovery_timing(&self, seed: u64) -> DiscoveryTiming {
         let hash = mix(seed ^ u64::from(self.balancer_index));
         DiscoveryTiming::new(self.max_poll_interval, hash as f64 / u64::MAX as f64)
     }
 
-    /// One balancer's share of what all of them may do together.
+    /// Returns one balancer's share of a total for all balancers.
     pub fn per_balancer_share(&self, total: f64) -> f64 {
         total / f64::from(self.balancer_count.max(1))
     }
--- a/src/settings/decode.rs
+++ b/src/settings/decode.rs
@@ -1,6 +1,6 @@
-//! Decodes [`Settings`] from path=value pairs, as the simulator sends them, or as the nested objects of a
-//! configuration give them when their paths are written out. The names of the pairs are the platform's; they
-//! are mapped to the terms of the code here and nowhere else.
+//! Decodes [`Settings`] from path=value pairs. The simulator sends such pairs; the nested objects of a
+//! configuration file are flattened into them. Only this module maps the external names to the terms of the
+//! code.
 
 use std::collections::BTreeMap;
 use std::str::FromStr;
@@ -10,68 +10,68 @@
 use super::{DedupScope, Idempotency, RequestClass, Settings, SlowStart};
 use crate::ids::{Ticks, ZoneId};
 
-/// What is expected of settings that cannot be decoded.
+/// What was expected in settings that cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SettingsError {
-    /// A field that is needed is not there.
-    #[error("setting {0}")]
+    /// A required setting is missing.
+    #[error("{0} to be set")]
     Missing(String),
-    /// A field is there, and cannot be read.
-    #[error("setting {path} that can be read, not {value:?}")]
+    /// The value of a setting cannot be parsed.
+    #[error("a valid value for {path}, not {value:?}")]
     Unreadable {
-        /// Its path.
+        /// The path of the setting.
         path: String,
-        /// What stands there.
+        /// The value of the setting.
         value: String,
     },
-    /// A number is negative, or not finite.
-    #[error("setting {path} of 0 or more, not {value}")]
+    /// A number is negative or not finite.
+    #[error("{path} to be a number of at least 0, not {value}")]
     Negative {
-        /// Its path.
+        /// The path of the setting.
         path: String,
-        /// What stands there.
+        /// The value of the setting.
         value: f64,
     },
-    /// A ratio is larger than 1.
-    #[error("setting {path} of 1 at most, not {value}")]
+    /// A ratio is greater than 1.
+    #[error("{path} to be at most 1, not {value}")]
     OverOne {
-        /// Its path.
+        /// The path of the setting.
         path: String,
-        /// What stands there.
+        /// The value of the setting.
         value: f64,
     },
-    /// The balancer's own zone is none of the zones.
-    #[error("setting az under {zone_count}, not {zone}")]
+    /// The balancer's own zone is not one of the configured zones.
+    #[error("az to be less than {zone_count}, not {zone}")]
     UnknownZone {
-        /// The number of the zone.
+        /// The index of the zone.
         zone: u16,
-        /// How many zones there are.
+        /// The number of configured zones.
         zone_count: usize,
     },
-    /// A field has a value that no program of this version knows.
-    #[error("a known {path}, not {value:?}")]
+    /// A setting has a value that this version does not support.
+    #[error("a known value for {path}, not {value:?}")]
     UnknownValue {
-        /// Its path.
+        /// The path of the setting.
         path: String,
-        /// What stands there.
+        /// The value of the setting.
         value: String,
     },
-    /// A line is no path=value pair.
-    #[error("path=value, not {0:?}")]
+    /// A line is not a path=value pair.
+    #[error("a line of the form path=value, not {0:?}")]
     MalformedLine(String),
-    /// The bytes are no text.
-    #[error("settings in UTF-8")]
+    /// The input is not UTF-8.
+    #[error("settings encoded in UTF-8")]
     NotUtf8,
 }
 
-/// Settings by their paths.
+/// The values of settings by their paths.
 #[derive(Default)]
 pub struct SettingsFields(BTreeMap<String, String>);
 
-/// Decodes one path=value pair a line.
+/// Decodes settings from lines of the form path=value.
 ///
 /// # Errors
-/// What is expected, and not there.
+/// Returns an error if a line is malformed, or a setting is missing or invalid.
 pub fn decode(bytes: &[u8]) -> Result<Settings, SettingsError> {
     let text = std::str::from_utf8(bytes).map_err(|_| SettingsError::NotUtf8)?;
     let mut fields = SettingsFields::default();
@@ -84,21 +84,23 @@
 }
 
 impl SettingsFields {
-    /// Adds a field, or replaces it.
+    /// Adds a field or replaces its value.
     pub fn insert(&mut self, path: &str, value: &str) {
         self.0.insert(path.to_string(), value.to_string());
     }
 
-    /// A length of time, given in seconds.
+    /// Returns a duration that is given in seconds.
     ///
     /// # Errors
-    /// Where it is missing, no number, or negative.
+    /// Returns an error if the value is missing, negative or not a finite number.
     pub fn ticks(&self, path: &str) -> Result<Ticks, SettingsError> {
         self.number(path).map(Ticks::from_secs_f64)
     }
 
+    /// Decodes the settings from the fields.
+    ///
     /// # Errors
-    /// The first field that is missing or cannot be used.
+    /// Returns an error for a field that is missing or invalid.
     pub fn decode(&self) -> Result<Settings, SettingsError> {
         let class_count: usize = self.value("categories.count")?;
         let tenant_count = self.length("projects.count")?;
@@ -190,7 +192,8 @@
         }
     }
 
-    /// The place of the load among a report's values, where endpoints report it to probes and only to them.
+    /// Returns the index of the load among the values of a report, if endpoints report their load only to
+    /// probes.
     fn load_report_field(&self) -> Result<Option<usize>, SettingsError> {
         match self.optional("report.source", Self::text)?.unwrap_or("none") {
             "probe" => {}
@@ -224,7 +227,7 @@
             .map_err(|_| SettingsError::Unreadable { path: path.to_string(), value: text.to_string() })
     }
 
-    /// A finite number of 0 or more.
+    /// Returns a finite number of at least 0.
     fn number(&self, path: &str) -> Result<f64, SettingsError> {
         let value: f64 = self.value(path)?;
         if value.is_finite() && value >= 0.0 {
@@ -233,7 +236,7 @@
         Err(SettingsError::Negative { path: path.to_string(), value })
     }
 
-    /// `None` where it is missing; what is there has to be sound.
+    /// Returns `None` if the field is missing. A value that is present must be valid.
     fn optional<'a, T>(
         &'a self,
         path: &str,
@@ -246,8 +249,8 @@
         Ok(self.optional(path, Self::value)?.unwrap_or(0))
     }
 
-    /// Values stand in one text with commas between them, or one by one where a configuration was written
-    /// out.
+    /// Returns a list, either from one value with commas between the items, or from one field per item in a
+    /// flattened configuration.
     fn list(&self, path: &str) -> Result<Vec<String>, SettingsError> {
         if let Some(text) = self.0.get(path) {
             return Ok(text.split(',').filter(|item| !item.is_empty()).map(str::to_string).collect());
@@ -256,7 +259,7 @@
         (0..length).map(|index| self.text(&format!("{path}.{index}")).map(str::to_string)).collect()
     }
 
-    /// A number of 1 at most; zero where it is missing.
+    /// Returns a number of at most 1, or zero if the field is missing.
     fn ratio_or_zero(&self, path: &str) -> Result<f64, SettingsError> {
         let value = self.optional(path, Self::number)?.unwrap_or(0.0);
         if value <= 1.0 {
@@ -265,7 +268,7 @@
         Err(SettingsError::OverOne { path: path.to_string(), value })
     }
 
-    /// Stated to be free; what is missing may cost something.
+    /// Returns whether the price is stated as zero. A missing price counts as not free.
     fn is_free(&self, path: &str) -> Result<bool, SettingsError> {
         Ok(self.optional(path, Self::number)? == Some(0.0))
     }
--- a/src/snapshot.rs
+++ b/src/snapshot.rs
@@ -1,8 +1,9 @@
-//! What a balancer has learned, as a text from which the next process of the same balancer goes on.
+//! Writes and reads the learned-state snapshot, a text from which the next process of the same balancer
+//! continues.
 //!
-//! One line a fact: a word that says what it is, and its values. The words are stored data. A snapshot holds
-//! nothing that binds for longer than it is true; what cannot be read, or does not belong to the settings and
-//! endpoints of this process, is skipped.
+//! Each line is a keyword and its values. The keywords are part of the stored format. A snapshot holds
+//! nothing that stays binding after it has become untrue. Lines that cannot be read, or that do not match the
+//! settings and endpoints of this process, are skipped.
 
 use std::fmt::Write as _;
 use std::str::FromStr;
@@ -13,12 +14,12 @@
 use crate::route_table::{PoolIndex, RouteTable};
 use crate::statistics::{RoundMedian, Sample};
 
-/// Older work says nothing of what an endpoint may be sent.
+/// Older work is irrelevant to how much an endpoint may be sent.
 const WORK_RETENTION: Ticks = Ticks(40_000);
-/// More lines than are ever written, so that a foreign file is not read for ever.
+/// More lines than are ever written. The limit stops the reading of a file that is not a snapshot.
 const MAX_LINES: usize = 50_000;
 
-/// The first word of each kind of line.
+/// The keywords that start a line.
 mod keywords {
     pub const COST_ESTIMATE: &str = "hint";
     pub const ROUND_MEDIAN: &str = "floor";
@@ -28,7 +29,7 @@
     pub const ANSWERED: &str = "answered";
 }
 
-/// Writes down what was learned.
+/// Writes the learned state.
 pub fn write(now: Timestamp, learned: &LearnedState) -> String {
     let mut text = String::new();
     let mut line = |values: std::fmt::Arguments| {
@@ -68,7 +69,7 @@
     text
 }
 
-/// Takes over what a text holds.
+/// Restores the learned state from a text.
 pub fn read(text: &str, now: Timestamp, learned: &mut LearnedState) {
     for line in text.lines().take(MAX_LINES) {
         let _ = read_line(&Fields::new(line), now, learned);
@@ -78,7 +79,7 @@
     }
 }
 
-/// `None` where the line cannot be read, or does not belong here.
+/// Reads one line. Returns `None` if the line cannot be read or does not match this process.
 fn read_line(fields: &Fields, now: Timestamp, learned: &mut LearnedState) -> Option<()> {
     let LearnedState { routes, statistics, sustained_work, endpoints } = learned;
     match fields.keyword() {
@@ -126,7 +127,7 @@
     })
 }
 
-/// The values of one line.
+/// The keyword and values of one line.
 struct Fields<'a>(Vec<&'a str>);
 
 impl<'a> Fields<'a> {
@@ -146,7 +147,7 @@
         self.value::<f64>(place).filter(|amount| amount.is_finite() && *amount >= 0.0)
     }
 
-    /// A time that is not in the future: what comes from there would never grow old.
+    /// Returns a time that is not in the future. An entry from the future would never expire.
     fn past(&self, place: usize, now: Timestamp) -> Option<Timestamp> {
         self.value(place).map(Timestamp).filter(|&at| at <= now)
     }
--- a/src/snapshot/tests.rs
+++ b/src/snapshot/tests.rs
@@ -15,7 +15,7 @@
 }
 
 impl Process {
-    /// Two endpoints of one of two kinds, in the order given, as a process lists them at its start.
+    /// Lists two endpoints of one of two kinds in the given order, as a process does at its start.
     fn new(ids: [u32; 2]) -> Process {
         let kinds = vec![EndpointKindId(3), EndpointKindId(1)];
         let routes = RouteTable { kinds, range_ends: Vec::new(), small_pool_ratio: 0.3 };
@@ -57,12 +57,12 @@
     }
     last.sustained_work.by_pool = vec![None, Some(0.75)];
     let text = write(NOW, &last.learned());
-    // Listed the other way round, and read after what makes no sense.
+    // The endpoints are listed in reverse order, and invalid lines come first.
     let spoilt = format!("sent 9 {0} 1\nsent 7 {1} 1\nborne 4 1\nhint -1\nsample\n\n", NOW.0, NOW.0 + 1);
     let mut next = Process::new([8, 7]);
     read(&(spoilt + &text), NOW, &mut next.learned());
     assert_eq!(write(NOW, &next.learned()), text);
-    let summary = next.statistics.summary.expect("what the samples say");
+    let summary = next.statistics.summary.expect("a summary of the restored samples");
     let median = summary.pools[0].map(|service_times| service_times.median);
     assert_eq!((summary.median_duration, median), (Ticks(300), Some(1.5)));
 }
--- a/src/statistics.rs
+++ b/src/statistics.rs
@@ -1,4 +1,4 @@
-//! What a balancer has measured: its recent attempts, and the figures that rules go by.
+//! Measurements of recent attempts, and the figures that the rules use.
 
 mod cost_bound;
 mod summary;
@@ -13,34 +13,34 @@
 pub use cost_bound::CostEstimates;
 pub use summary::{ServiceTimes, Summary};
 
-/// Samples of the whole fleet: enough to tell a tenth from a median, few enough to forget a fault within
-/// seconds.
+/// The number of samples across all endpoints: enough to distinguish the 90th percentile from the median, but
+/// few enough that a past fault is forgotten within seconds.
 const FLEET_SAMPLES: usize = 128;
-/// Outcomes kept for outlier detection: enough that a rare failure is seen at more than one endpoint.
+/// The number of outcomes kept for outlier detection, enough to see a rare failure at more than one endpoint.
 const OUTCOMES: usize = 512;
-/// Median service times of past rounds: long enough that congestion of a minute is not taken for normal.
+/// The number of past median service times, enough that a minute of congestion is not taken for normal.
 const SERVICE_TIME_ROUNDS: usize = 128;
-/// Figures are computed anew after this many answers: every request asks for several of them, and CPU time is
-/// scarce.
+/// The number of answers between summaries. Every request needs several of the figures, and computing them
+/// each time would take too much CPU time.
 const ANSWERS_BETWEEN_SUMMARIES: usize = 16;
-/// Enough answers to even out which of them met a cached key, few enough to follow a burst. This many are
-/// kept, however old.
+/// The number of samples per endpoint: enough to average over which of them met a cached key, few enough to
+/// follow a burst. This many samples are kept regardless of their age.
 pub const ENDPOINT_SAMPLES: usize = 8;
 
-/// One finished attempt, as evidence about its endpoint.
+/// The measurement of one finished attempt.
 #[derive(Clone, Copy)]
 pub struct Sample {
     pub at: Timestamp,
     pub endpoint: EndpointIndex,
     pub pool: PoolIndex,
     pub duration: Ticks,
-    /// Seconds taken for each core second of the cost estimate.
+    /// The duration in seconds per core second of the cost estimate.
     pub service_time: f64,
-    /// Seconds that the cost estimate explains in an idle pool.
+    /// The seconds that the cost estimate explains in an unloaded pool.
     pub expected_secs: f64,
 }
 
-/// Whether an attempt failed, and where.
+/// Whether an attempt failed, and at which endpoint.
 #[derive(Clone, Copy)]
 struct OutcomeSample {
     at: Timestamp,
@@ -48,14 +48,14 @@
     has_failed: bool,
 }
 
-/// Failures at one endpoint, beside those at the others.
+/// Failures at one endpoint, compared with the others.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FailureCounts {
     /// Failed attempts at the endpoint.
     pub own: f64,
     /// Other endpoints that have responded.
     pub others: f64,
-    /// Of those, the ones at which any attempt failed.
+    /// Other endpoints at which any attempt failed.
     pub failing_others: f64,
 }
 
@@ -66,26 +66,26 @@
     pub service_time: f64,
 }
 
-/// Recent measurements, and the [`Summary`] of them.
+/// Recent measurements and their [`Summary`].
 #[derive(Default)]
 pub struct Statistics {
     pub samples: SampleWindow<Sample, FLEET_SAMPLES>,
     pub rounds: SampleWindow<RoundMedian, SERVICE_TIME_ROUNDS>,
     pub cost_estimates: CostEstimates,
-    /// Attempts measured since the start.
+    /// The attempts measured since the start.
     pub answer_count: usize,
-    /// None before the first sample.
+    /// `None` before the first sample.
     pub summary: Option<Summary>,
     outcomes: SampleWindow<OutcomeSample, OUTCOMES>,
     summarized_at: Timestamp,
 }
 
 impl Statistics {
-    /// Records how long an attempt took. Samples older than `max_age` are dropped, down to
-    /// [`ENDPOINT_SAMPLES`].
+    /// Records the duration of an attempt. Samples older than `max_age` are dropped until
+    /// [`ENDPOINT_SAMPLES`] are left.
     ///
-    /// Where balancers are many the last samples reach back half a minute; without the limit on age, rules
-    /// would go by what was normal before a fault.
+    /// With many balancers, the last samples of one balancer can cover half a minute. Without the age limit,
+    /// rules would use figures from before a fault.
     pub fn record_sample(&mut self, sample: Sample, max_age: Ticks, pool_count: usize) {
         let now = sample.at;
         self.samples.put(sample);
@@ -102,20 +102,21 @@
         }
     }
 
-    /// After each of the first answers, after a fixed number of them, and after a median duration.
+    /// Returns whether the summary is due: after each of the first answers, after a fixed number of answers,
+    /// and after a median duration.
     fn is_summary_due(&self, now: Timestamp) -> bool {
         let is_early = self.answer_count <= ANSWERS_BETWEEN_SUMMARIES;
         let is_batch_complete = self.answer_count.is_multiple_of(ANSWERS_BETWEEN_SUMMARIES);
         is_early || is_batch_complete || now - self.summarized_at >= self.median_duration()
     }
 
-    /// The first answers make a round as well: where congestion follows the start, they alone show a time
-    /// without it.
+    /// Returns whether a round ends. The first answers form a round as well: if congestion follows the start,
+    /// only they show service times without it.
     fn is_round_over(&self) -> bool {
         self.answer_count == ANSWERS_BETWEEN_SUMMARIES || self.answer_count.is_multiple_of(FLEET_SAMPLES / 2)
     }
 
-    /// Computes the summary anew; at the end of a round the median of each pool is kept.
+    /// Recomputes the summary. At the end of a round, the median service time of each pool is kept.
     pub fn summarize(&mut self, pool_count: usize, is_round_over: bool) {
         let median_duration = summary::duration_quantile(&self.samples, 0.5);
         let mut pools = Vec::with_capacity(pool_count);
@@ -139,7 +140,7 @@
         self.outcomes.put(OutcomeSample { at, endpoint, has_failed });
     }
 
-    /// Failures since then at this endpoint, and at the others.
+    /// Counts failures at this endpoint and at the others since the given time.
     pub fn failures(&self, since: Timestamp, endpoint: EndpointIndex) -> FailureCounts {
         let mut own = 0.0;
         let mut has_failed_at: BTreeMap<EndpointIndex, bool> = BTreeMap::new();
@@ -154,33 +155,33 @@
         FailureCounts { own, others: has_failed_at.len() as f64, failing_others }
     }
 
-    /// The last samples of one endpoint, the latest first, at most [`ENDPOINT_SAMPLES`].
+    /// Returns the last samples of one endpoint, latest first, at most [`ENDPOINT_SAMPLES`].
     pub fn samples_of(&self, endpoint: EndpointIndex) -> impl Iterator<Item = &Sample> {
         self.samples.iter().rev().filter(move |sample| sample.endpoint == endpoint).take(ENDPOINT_SAMPLES)
     }
 
-    /// Service times of a pool; `None` before its first answer.
+    /// Returns the service times of a pool, or `None` before its first answer.
     pub fn service_times(&self, pool: PoolIndex) -> Option<ServiceTimes> {
         self.summary.as_ref()?.pools[pool]
     }
 
-    /// The median duration of attempts; zero before the first answer.
+    /// Returns the median duration of attempts, or zero before the first answer.
     pub fn median_duration(&self) -> Ticks {
         self.summary.as_ref().map_or(Ticks::ZERO, |summary| summary.median_duration)
     }
 
-    /// Nine tenths of attempts take no longer; one second before the first answer.
+    /// Returns the 90th percentile of attempt durations, or one second before the first answer.
     pub fn p90_duration(&self) -> Ticks {
         self.summary.as_ref().map_or(Ticks::from_secs_f64(1.0), |summary| summary.p90_duration)
     }
 
-    /// The mean cost estimate in core seconds; 1 before the first answer.
+    /// Returns the mean cost estimate in core seconds, or 1 before the first answer.
     pub fn mean_cost(&self) -> f64 {
         self.summary.as_ref().map_or(1.0, |summary| summary.mean_cost)
     }
 
-    /// The median service time of the fastest pool, in seconds for each core second; `None` before the first
-    /// answer.
+    /// Returns the median service time of the fastest pool in seconds per core second, or `None` before the
+    /// first answer.
     pub fn fastest_service_time(&self) -> Option<f64> {
         let pools = self.summary.as_ref()?.pools.iter().flatten();
         pools.map(|service_times| service_times.median).min_by(f64::total_cmp)
--- a/src/statistics/summary.rs
+++ b/src/statistics/summary.rs
@@ -1,40 +1,40 @@
-//! Figures derived from the last samples.
+//! Figures derived from the latest samples.
 
 use super::{FLEET_SAMPLES, RoundMedian, SERVICE_TIME_ROUNDS, Sample};
 use crate::ids::Ticks;
 use crate::route_table::PoolIndex;
 use crate::samples::SampleWindow;
 
-/// What the last samples say of all endpoints, and of each pool.
+/// Figures of all endpoints together and of each pool.
 pub struct Summary {
     pub median_duration: Ticks,
-    /// Nine tenths of attempts took no longer.
+    /// The 90th percentile of attempt durations.
     pub p90_duration: Ticks,
-    /// Mean cost estimate, in core seconds.
+    /// The mean cost estimate in core seconds.
     pub mean_cost: f64,
-    /// By pool; `None` where nothing was measured yet.
+    /// By pool; `None` if nothing has been measured there.
     pub pools: Vec<Option<ServiceTimes>>,
 }
 
-/// How long a pool takes.
+/// The service times of a pool.
 #[derive(Clone, Copy)]
 pub struct ServiceTimes {
-    /// Mean duration of an attempt, long ones included.
+    /// The mean duration of an attempt, including long ones.
     pub mean: Ticks,
-    /// Median seconds for each core second of the cost estimate.
+    /// The median duration in seconds per core second of the cost estimate.
     pub median: f64,
-    /// The same while nothing holds the pool up: the least median of the last rounds. Under congestion the
-    /// latest samples all include waiting, which would pass for the endpoints' own speed.
+    /// The median without congestion: the lowest median of the last rounds. Under congestion all recent
+    /// samples include queueing, which would be taken for the endpoints' own speed.
     pub unloaded: f64,
 }
 
-/// The quantile `fraction` (0..=1) of durations; zero where there are no samples.
+/// Returns the quantile `fraction` (0..=1) of durations, or zero without samples.
 pub(super) fn duration_quantile(samples: &SampleWindow<Sample, FLEET_SAMPLES>, fraction: f64) -> Ticks {
     let secs = samples.quantile(fraction, |sample| Some(sample.duration.as_secs_f64()));
     Ticks::from_secs_f64(secs.unwrap_or(0.0))
 }
 
-/// The median service time of a pool's samples; `None` where it has none.
+/// Returns the median service time of a pool's samples, or `None` if it has none.
 pub(super) fn median_service_time(
     samples: &SampleWindow<Sample, FLEET_SAMPLES>,
     pool: PoolIndex,
@@ -42,8 +42,8 @@
     samples.quantile(0.5, |sample| (sample.pool == pool).then_some(sample.service_time))
 }
 
-/// The figures of one pool; `None` where nothing was ever measured. `fallback_mean` is the mean where its
-/// samples have been dropped.
+/// Returns the figures of one pool, or `None` if nothing was ever measured there. `fallback_mean` is used as
+/// the mean if the pool's samples have been dropped.
 pub(super) fn service_times(
     samples: &SampleWindow<Sample, FLEET_SAMPLES>,
     rounds: &SampleWindow<RoundMedian, SERVICE_TIME_ROUNDS>,
