--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -43,10 +43,10 @@
 impl EjectionCause {
     fn as_str(self) -> &'static str {
         match self {
-            EjectionCause::ErrorAnswer => "error answer",
-            EjectionCause::ConnectionReset => "connection reset",
-            EjectionCause::ConnectFailed => "connect failed",
-            EjectionCause::NoResponse => "no response",
+            EjectionCause::ErrorAnswer => "an error",
+            EjectionCause::ConnectionReset => "its connection broke",
+            EjectionCause::ConnectFailed => "its connection failed",
+            EjectionCause::NoResponse => "no answer",
         }
     }
 }
--- a/tests/decisions/dispatcher.rs
+++ b/tests/decisions/dispatcher.rs
@@ -117,7 +117,7 @@
     trace.line(format_args!("once its client has gone: {}", may_begin(Timestamp(5_000))));
     expect![[r#"
         the first, where nothing may have run, early and late: [true, true]
-          log: endpoint 14 ejected for 743 ms: connection reset
+          log: endpoint 14 ejected for 743 ms: its connection broke
         the repeat within 1 s of the first, and then: [true, false]
         once another zone has its endpoint: false
         once its client has gone: false
@@ -154,7 +154,7 @@
     expect![[r#"
         cancelled: Some(())
         an answer all the same: false
-          log: endpoint 10 ejected for 573 ms: connection reset
+          log: endpoint 10 ejected for 573 ms: its connection broke
         breaks: false
         next Some(Fail)
         and then None
--- a/tests/decisions/outliers.rs
+++ b/tests/decisions/outliers.rs
@@ -34,7 +34,7 @@
             request 3 of class 2 arrives | send request 3 to 1
             the timer of request 1 goes off | send request 1 to 1
             attempt 1 of request 1 at 1: Succeeded | cancel attempt 0 of request 1
-            attempt 0 of request 1 at 2: Cancelled | log: endpoint 2 ejected for 152 ms: no response
+            attempt 0 of request 1 at 2: Cancelled | log: endpoint 2 ejected for 152 ms: no answer
         "#]],
     );
 }
@@ -55,7 +55,7 @@
         &harness,
         expect![[r#"
             request 1 of class 0 arrives | send request 1 to 2
-            attempt 0 of request 1 at 2: ErrorAnswer | log: endpoint 2 ejected for 162 ms: error answer | send request 1 to 1
+            attempt 0 of request 1 at 2: ErrorAnswer | log: endpoint 2 ejected for 162 ms: an error | send request 1 to 1
             attempt 1 of request 1 at 1: Succeeded
             -- after its wait: not an non-idempotent request first
             request 2 of class 2 arrives | send request 2 to 1
@@ -99,9 +99,9 @@
     let ejections = trace_of(&harness);
     let ejections = ejections.split('\n').filter(|line| line.contains("ejected") || line.starts_with("--"));
     expect![[r#"
-        attempt 0 of request 5 at 13: ConnectionReset | log: endpoint 13 ejected for 190 ms: connection reset | send request 5 to 11
+        attempt 0 of request 5 at 13: ConnectionReset | log: endpoint 13 ejected for 190 ms: its connection broke | send request 5 to 11
         -- one fails all that it gets
-        attempt 0 of request 76 at 12: ErrorAnswer | log: endpoint 12 ejected for 187 ms: error answer | send request 76 to 13"#]].assert_eq(&ejections.collect::<Vec<_>>().join("\n"));
+        attempt 0 of request 76 at 12: ErrorAnswer | log: endpoint 12 ejected for 187 ms: an error | send request 76 to 13"#]].assert_eq(&ejections.collect::<Vec<_>>().join("\n"));
 }
 
 /// Prevents rejections of requests that may run again while an endpoint that fails some of its requests
@@ -124,7 +124,7 @@
         &harness,
         expect![[r#"
             request 1 of class 0 arrives | send request 1 to 2
-            attempt 0 of request 1 at 2: ErrorAnswer | log: endpoint 2 ejected for 242 ms: error answer | send request 1 to 1
+            attempt 0 of request 1 at 2: ErrorAnswer | log: endpoint 2 ejected for 242 ms: an error | send request 1 to 1
             attempt 1 of request 1 at 1: Succeeded
             request 2 of class 2 arrives | send request 2 to 1
             request 3 of class 2 arrives | send request 3 to 1
@@ -153,7 +153,7 @@
             request 1 of class 0 arrives | send request 1 to 2
             request 2 of class 0 arrives | send request 2 to 3
             attempt 0 of request 2 at 3: Succeeded
-            attempt 0 of request 1 at 2: TimedOut | log: endpoint 2 ejected for 490 ms: no response | reject request 1
+            attempt 0 of request 1 at 2: TimedOut | log: endpoint 2 ejected for 490 ms: no answer | reject request 1
         "#]],
     );
 }
@@ -174,13 +174,13 @@
         &harness,
         expect![[r#"
             request 0 of class 0 arrives | send request 0 to 2
-            attempt 0 of request 0 at 2: ErrorAnswer | log: endpoint 2 ejected for 162 ms: error answer | send request 0 to 1
+            attempt 0 of request 0 at 2: ErrorAnswer | log: endpoint 2 ejected for 162 ms: an error | send request 0 to 1
             attempt 1 of request 0 at 1: Succeeded
             request 10 of class 0 arrives | send request 10 to 2
-            attempt 0 of request 10 at 2: ErrorAnswer | log: endpoint 2 ejected for 304 ms: error answer | send request 10 to 1
+            attempt 0 of request 10 at 2: ErrorAnswer | log: endpoint 2 ejected for 304 ms: an error | send request 10 to 1
             attempt 1 of request 10 at 1: Succeeded
             request 20 of class 0 arrives | send request 20 to 2
-            attempt 0 of request 20 at 2: ErrorAnswer | log: endpoint 2 ejected for 481 ms: error answer | send request 20 to 1
+            attempt 0 of request 20 at 2: ErrorAnswer | log: endpoint 2 ejected for 481 ms: an error | send request 20 to 1
             attempt 1 of request 20 at 1: Succeeded
         "#]],
     );
@@ -222,7 +222,7 @@
             -- later one that may run again tries it
             request 3 of class 0 arrives | send request 3 to 1
             2 is said to be faulty by evidence of 0 ms ago
-            attempt 0 of request 3 at 1: ErrorAnswer | log: endpoint 1 ejected for 186 ms: error answer | send request 3 to 3
+            attempt 0 of request 3 at 1: ErrorAnswer | log: endpoint 1 ejected for 186 ms: an error | send request 3 to 3
             -- it has failed, and the next do not try it for as long as others do
             attempt 0 of request 3 at 3: Succeeded | cancel attempt 1 of request 3
             1 is said to be faulty by evidence of 10 ms ago
--- a/tests/decisions/retries.rs
+++ b/tests/decisions/retries.rs
@@ -19,9 +19,9 @@
         &harness,
         expect![[r#"
             request 1 of class 2 arrives | send request 1 to 2
-            attempt 0 of request 1 at 2: ConnectionReset | log: endpoint 2 ejected for 162 ms: connection reset | fail request 1
+            attempt 0 of request 1 at 2: ConnectionReset | log: endpoint 2 ejected for 162 ms: its connection broke | fail request 1
             request 2 of class 2 arrives | send request 2 to 3
-            attempt 0 of request 2 at 3: ConnectFailed | log: endpoint 3 ejected for 152 ms: connect failed | send request 2 to 1
+            attempt 0 of request 2 at 3: ConnectFailed | log: endpoint 3 ejected for 152 ms: its connection failed | send request 2 to 1
         "#]],
     );
 }
@@ -39,9 +39,9 @@
         &harness,
         expect![[r#"
             request 1 of class 1 arrives | send request 1 to 2
-            attempt 0 of request 1 at 2: ErrorAnswer | log: endpoint 2 ejected for 162 ms: error answer | send request 1 to 4
+            attempt 0 of request 1 at 2: ErrorAnswer | log: endpoint 2 ejected for 162 ms: an error | send request 1 to 4
             -- later than the window the next error ends it
-            attempt 1 of request 1 at 4: ErrorAnswer | log: endpoint 4 ejected for 225 ms: error answer | fail request 1
+            attempt 1 of request 1 at 4: ErrorAnswer | log: endpoint 4 ejected for 225 ms: an error | fail request 1
         "#]],
     );
 }
@@ -65,7 +65,7 @@
             request 1 of class 1 arrives | send request 1 to 2
             request 2 of class 1 arrives | send request 2 to 3
             -- 4 is replaced by one in the other zone
-            attempt 0 of request 1 at 2: ErrorAnswer | log: endpoint 2 ejected for 163 ms: error answer | fail request 1
+            attempt 0 of request 1 at 2: ErrorAnswer | log: endpoint 2 ejected for 163 ms: an error | fail request 1
             -- so is 1, and 3, where request 2 may have run
             attempt 0 of request 2 at 3: ConnectionReset | send request 2 to 4
         "#]],
@@ -99,8 +99,8 @@
         &harness,
         expect![[r#"
             request 1 of class 0 arrives | send request 1 to 2
-            attempt 0 of request 1 at 2: ErrorAnswer | log: endpoint 2 ejected for 162 ms: error answer | send request 1 to 3
-            attempt 1 of request 1 at 3: ErrorAnswer | log: endpoint 3 ejected for 225 ms: error answer | send request 1 to 5
+            attempt 0 of request 1 at 2: ErrorAnswer | log: endpoint 2 ejected for 162 ms: an error | send request 1 to 3
+            attempt 1 of request 1 at 3: ErrorAnswer | log: endpoint 3 ejected for 225 ms: an error | send request 1 to 5
             attempt 2 of request 1 at 5: ErrorAnswer | reject request 1
         "#]],
     );
