--- a/src/snapshot/tests.rs
+++ b/src/snapshot/tests.rs
@@ -43,24 +43,24 @@
 }
 
 #[test]
-fn the_next_process_knows_what_the_last_one_did_and_skips_the_rest() {
-    let mut last = Process::new([7, 8]);
+fn snapshot_is_restored_and_invalid_lines_are_skipped() {
+    let mut previous = Process::new([7, 8]);
     for at in 0..20 {
-        last.statistics.cost_estimates.record(0.01 * f64::from(at + 1), last.routes.small_pool_ratio);
-        let endpoint = last.endpoints.ready_index_of(EndpointId(8)).unwrap();
+        previous.statistics.cost_estimates.record(0.01 * f64::from(at + 1), previous.routes.small_pool_ratio);
+        let endpoint = previous.endpoints.ready_index_of(EndpointId(8)).unwrap();
         let at = NOW - Ticks(400 - i64::from(at));
         let sample =
             Sample { at, endpoint, pool: 0, duration: Ticks(300), service_time: 1.5, expected_secs: 0.2 };
-        last.statistics.record_sample(sample, Ticks(30_000), 2);
-        last.endpoints[endpoint].sent.put(at, WORK_RETENTION, 0.25);
-        last.endpoints[endpoint].answered.put(at, WORK_RETENTION, 0.5);
+        previous.statistics.record_sample(sample, Ticks(30_000), 2);
+        previous.endpoints[endpoint].sent.put(at, WORK_RETENTION, 0.25);
+        previous.endpoints[endpoint].answered.put(at, WORK_RETENTION, 0.5);
     }
-    last.sustained_work.by_pool = vec![None, Some(0.75)];
-    let text = write(NOW, &last.learned());
+    previous.sustained_work.by_pool = vec![None, Some(0.75)];
+    let text = write(NOW, &previous.learned());
     // The endpoints are listed in reverse order, and invalid lines come first.
-    let spoilt = format!("sent 9 {0} 1\nsent 7 {1} 1\nborne 4 1\nhint -1\nsample\n\n", NOW.0, NOW.0 + 1);
+    let invalid = format!("sent 9 {0} 1\nsent 7 {1} 1\nborne 4 1\nhint -1\nsample\n\n", NOW.0, NOW.0 + 1);
     let mut next = Process::new([8, 7]);
-    read(&(spoilt + &text), NOW, &mut next.learned());
+    read(&(invalid + &text), NOW, &mut next.learned());
     assert_eq!(write(NOW, &next.learned()), text);
     let summary = next.statistics.summary.expect("a summary of the restored samples");
     let median = summary.pools[0].map(|service_times| service_times.median);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A test harness: the host prints each act as one line in the project's words.
+//! A test harness for the decisions. Each effect is recorded as one line of a trace.
 
 #![allow(dead_code)]
 
@@ -17,17 +17,17 @@
 pub const TOP_UP: u16 = 1;
 pub const ORDER: u16 = 2;
 
-/// What was done, and how many more requests the fleet as a whole lets in, where it is limited.
+/// The trace, and how many more requests the fleet's limit admits, if there is one.
 #[derive(Clone, Default)]
 pub struct Trace(Arc<Mutex<String>>, Arc<Mutex<Option<u32>>>);
 
 impl Trace {
     fn text_mut(&self) -> MutexGuard<'_, String> {
-        self.0.lock().expect("one thread to a test")
+        self.0.lock().expect("each test uses one thread")
     }
 
     pub fn line(&self, text: std::fmt::Arguments) {
-        writeln!(self.text_mut(), "{text}").expect("a string takes every line");
+        writeln!(self.text_mut(), "{text}").expect("a write to a string cannot fail");
     }
 
     pub fn text(&self) -> String {
@@ -42,14 +42,14 @@
     fn cancel_attempt(&mut self, request: RequestId, attempt: AttemptNumber) {
         self.line(format_args!("  cancel attempt {} of request {}", attempt.0, request.0));
     }
-    fn reject(&mut self, request: RequestId, stay_away: Option<Ticks>) {
-        let advice = stay_away.map_or("", |_| ", retry after a while");
+    fn reject(&mut self, request: RequestId, retry_after: Option<Ticks>) {
+        let advice = retry_after.map_or("", |_| ", retry after a while");
         self.line(format_args!("  reject request {}{advice}", request.0));
     }
     fn fail(&mut self, request: RequestId) {
         self.line(format_args!("  fail request {}", request.0));
     }
-    fn set_timer(&mut self, _at: Timestamp, _alarm: TimerId) {}
+    fn set_timer(&mut self, _at: Timestamp, _timer: TimerId) {}
     fn close_idle_connections(&mut self, endpoint: EndpointId) {
         self.line(format_args!("  close idle connections to {}", endpoint.0));
     }
@@ -63,25 +63,25 @@
         self.line(format_args!("  log: {line}"));
     }
     fn fleet_limit_wait(&mut self, _now: Timestamp, _tenant: TenantId) -> Option<Ticks> {
-        let mut left = self.1.lock().expect("one thread to a test");
-        let more = left.as_mut()?;
-        *more = match more.checked_sub(1) {
-            Some(more) => more,
+        let mut admissions = self.1.lock().expect("each test uses one thread");
+        let remaining = admissions.as_mut()?;
+        *remaining = match remaining.checked_sub(1) {
+            Some(fewer) => fewer,
             None => return Some(Ticks::from_secs_f64(0.5)),
         };
         None
     }
 }
 
-/// Three classes, 600 ms to the target each: one of each way to repeat.
+/// Settings with three classes, one of each idempotency, with a latency objective of 600 ms each.
 pub fn settings() -> Settings {
-    let class = |weight, repeats| RequestClass {
+    let class = |weight, idempotency| RequestClass {
         priority_weight: weight,
         latency_objective: Ticks::from_secs_f64(0.6),
         objective_stretch_factor: 0.0,
         timeout: Ticks::from_secs_f64(2.0),
         late_weight_ratio: 0.0,
-        idempotency: repeats,
+        idempotency,
     };
     Settings {
         classes: vec![
@@ -151,7 +151,7 @@
     }
 
     pub fn set_fleet_limit(&mut self, requests: u32) -> &mut Self {
-        *self.trace.1.lock().expect("one thread to a test") = Some(requests);
+        *self.trace.1.lock().expect("each test uses one thread") = Some(requests);
         self.note(&format!("the fleet limit admits {requests} more"))
     }
 
@@ -160,7 +160,7 @@
         self
     }
 
-    /// A request of this class with 1.5 s left, its key the number given.
+    /// Submits a request of this class with a timeout of 1.5 s and the given number as its key.
     pub fn request(&mut self, request: u32, class: u16, key: u64, cost: f64) -> &mut Self {
         self.arrive(request, class, Some(KeyHash(key)), Some(cost), 1.5)
     }
@@ -171,7 +171,7 @@
         class: u16,
         key: Option<KeyHash>,
         cost: Option<f64>,
-        left: f64,
+        timeout_secs: f64,
     ) -> &mut Self {
         self.trace.line(format_args!("request {request} of class {class} arrives"));
         let arrival = IncomingRequest {
@@ -179,7 +179,7 @@
             key,
             tenant: TenantId(0),
             class: ClassId(class),
-            timeout: Ticks::from_secs_f64(left),
+            timeout: Ticks::from_secs_f64(timeout_secs),
             cost_estimate: cost,
         };
         self.balancer.on_request(self.now, arrival);
@@ -217,13 +217,14 @@
         self
     }
 
-    /// The endpoint that the last attempt went to answers it, so long after.
+    /// Finishes the request's first attempt with an answer after this time, from the endpoint of the last
+    /// attempt.
     pub fn answered(&mut self, request: u32, ms: i64) -> &mut Self {
         let endpoint = self.last_endpoint();
         self.after_ms(ms).finish_after(request, 0, endpoint, AttemptOutcome::Succeeded, ms)
     }
 
-    /// Requests answered well by whichever endpoint they went to, so that there is something to judge by.
+    /// Sends requests and answers each after 100 ms, so that the balancer has measurements.
     pub fn warm_up(&mut self, requests: u32) -> &mut Self {
         for request in 0..requests {
             self.arrive(1_000_000 + request, READ, Some(KeyHash(u64::from(request) + 1)), Some(0.1), 1.5);
@@ -239,7 +240,7 @@
         last.rsplit(' ').next().and_then(|id| id.parse().ok()).expect("an attempt that names its endpoint")
     }
 
-    /// An endpoint reports this load to its probe; `None` where the probe is not answered in time.
+    /// Reports the result of a load probe; `None` if the endpoint did not answer the probe in time.
     pub fn report_load(&mut self, endpoint: u32, load: Option<f64>) -> &mut Self {
         self.trace.line(format_args!("{endpoint} reports load {load:?}"));
         self.balancer
@@ -248,7 +249,7 @@
     }
 
     pub fn fire_timer(&mut self, request: u32) -> &mut Self {
-        self.trace.line(format_args!("the timer of request {request} goes off"));
+        self.trace.line(format_args!("the timer of request {request} fires"));
         self.balancer.on_timer(self.now, TimerId(u64::from(request)));
         self
     }
--- a/tests/common/wire.rs
+++ b/tests/common/wire.rs
@@ -1,5 +1,6 @@
 //! Compares messages with the bytes that balancers of earlier builds exchange. During a rolling upgrade both
-//! builds run side by side, so the order of fields and variants has to stay; their names are not on the wire.
+//! builds run at the same time, so the order of fields and variants must not change. Their names are not on
+//! the wire.
 
 use std::fmt::Debug;
 
@@ -10,11 +11,11 @@
 #[path = "hex.rs"]
 mod hex;
 
-/// Encodes each message, compares a line `label: bytes` for each with the expected text, and reads the
-/// expected bytes back.
+/// Encodes each message, compares the lines `label: bytes` with the expected text, and decodes the expected
+/// bytes again.
 ///
 /// # Panics
-/// Where the bytes differ, or are read as another message, or not to their end.
+/// If the bytes differ, are decoded as another message, or are not fully consumed.
 pub fn assert_wire_format<M>(messages: &[M], label: impl Fn(&M) -> &'static str, expected: Expect)
 where
     M: Serialize + DeserializeOwned + PartialEq + Debug,
@@ -24,7 +25,8 @@
         let bytes = postcard::to_allocvec(message).expect("every message can be encoded");
         lines += &format!("{}: {}\n", label(message), hex::encode(&bytes));
     }
-    // Equal from here on, so the lines below are the expected ones.
+    // The encoded bytes equal the expected ones from here on, so decoding these lines tests the expected
+    // bytes.
     expected.assert_eq(&lines);
     for (message, line) in messages.iter().zip(lines.lines()) {
         let (_, text) = line.rsplit_once(": ").expect("a label and the bytes");
--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -1,4 +1,4 @@
-//! Which requests are admitted at all.
+//! Which requests are admitted.
 
 use crate::common::{Harness, ORDER, READ, settings};
 use crate::{check, check_after, one_kind, trace_of, without_probes};
@@ -8,9 +8,9 @@
 use expect_test::expect;
 
 #[test]
-fn a_hopeless_request_is_rejected_at_once_but_only_under_overload() {
+fn hopeless_request_is_rejected_only_under_overload() {
     let mut harness = Harness::new(Settings { balancer_count: 1, ..settings() }, &one_kind(&[1]));
-    harness.warm_up(20).note("-- room for all: even this one is tried");
+    harness.warm_up(20).note("-- with free capacity, even a hopeless request is tried");
     harness.arrive(0, READ, Some(KeyHash(1)), Some(0.1), 0.12).finish_after(
         0,
         0,
@@ -21,7 +21,7 @@
     for request in 1..8 {
         harness.request(request, READ, 1, 0.1);
     }
-    harness.note("-- others wait: a tenth of a second of work, and clients that stay for 120 and 400 ms");
+    harness.note("-- requests wait: 100 ms of work, with timeouts of 120 and 400 ms");
     harness.arrive(10, READ, Some(KeyHash(1)), Some(0.1), 0.12).arrive(
         11,
         READ,
@@ -31,9 +31,9 @@
     );
     check_after(
         &harness,
-        "-- others",
+        "-- requests wait",
         expect![[r#"
-             wait: a tenth of a second of work, and clients that stay for 120 and 400 ms
+            -- requests wait: 100 ms of work, with timeouts of 120 and 400 ms
             request 10 of class 0 arrives | reject request 10, retry after a while
             request 11 of class 0 arrives
         "#]],
@@ -48,22 +48,23 @@
     for request in 0..20 {
         harness.request(request, READ, 1, 0.1);
     }
-    harness.note("-- a second later the share is open again; one answer makes room for one");
+    harness.note("-- later the quota admits requests again; one answer frees capacity for one request");
     harness.after_ms(450).request(50, READ, 1, 0.1).after_ms(10).finish(0, 0, 1, AttemptOutcome::Succeeded);
     check_after(
         &harness,
-        "-- a second",
+        "-- later",
         expect![[r#"
-             later the share is open again; one answer makes room for one
+            -- later the quota admits requests again; one answer frees capacity for one request
             request 50 of class 0 arrives | reject request 10, retry after a while | reject request 9, retry after a while | reject request 8, retry after a while | reject request 7, retry after a while | reject request 6, retry after a while | reject request 5, retry after a while
             attempt 0 of request 0 at 1: Succeeded | send request 50 to 1
         "#]],
     );
 }
 
-/// Requests beyond a limit are neither sent nor queued, and no room is spent on one that is rejected anyhow.
+/// Requests beyond a limit are neither sent nor queued. A request that is rejected for another reason does
+/// not count against the limit.
 #[test]
-fn a_request_beyond_the_fleets_limit_is_rejected_at_once_with_retry_after() {
+fn request_beyond_fleet_limit_is_rejected_with_retry_after() {
     let mut harness = Harness::new(settings(), &one_kind(&[1, 2]));
     harness.warm_up(20);
     harness.set_fleet_limit(2).request(1, ORDER, 1, 0.1).arrive(2, ORDER, Some(KeyHash(1)), Some(0.1), 0.0);
@@ -81,7 +82,7 @@
 }
 
 #[test]
-fn late_answers_lower_the_admission_probability_and_timely_ones_raise_it() {
+fn admission_probability_follows_late_and_timely_answers() {
     let mut harness = Harness::new(without_probes(), &one_kind(&[2, 4, 6, 8]));
     let mut counts = Vec::new();
     for took in [700, 700, 100, 100, 100, 100] {
--- a/tests/decisions/discovery.rs
+++ b/tests/decisions/discovery.rs
@@ -1,4 +1,4 @@
-//! What updates of the endpoint list lead to.
+//! How updates of the endpoint list are applied.
 
 use crate::common::{Harness, ORDER, READ, ready_update, settings};
 use crate::{check, check_after, one_kind, with_status};
@@ -8,14 +8,14 @@
 use expect_test::expect;
 
 #[test]
-fn a_missing_endpoint_serves_on_while_it_answers_if_only_draining_is_binding() {
+fn missing_endpoint_stays_in_use_if_only_draining_is_binding() {
     let trace_when = |only_draining_binds| {
         let mut harness =
             Harness::new(Settings { only_draining_binds, ..settings() }, &one_kind(&[1, 2, 3, 4]));
         for (request, key) in [(0, 1), (1, 2), (2, 4), (3, 1), (4, 2), (5, 4)] {
             harness.request(request, READ, key, 0.1).answered(request, 100);
         }
-        harness.note("-- endpoint 4 drains, then all are gone; 3 never answered");
+        harness.note("-- endpoint 4 drains, then all are removed; 3 has never answered");
         harness
             .balancer
             .on_endpoint_updates(harness.now, &[with_status(EndpointStatus::Draining, ready_update(4, 0))]);
@@ -29,43 +29,43 @@
             .request(11, READ, 2, 0.1)
             .request(12, READ, 3, 0.1)
             .request(13, READ, 4, 0.1);
-        harness.note("-- one refuses a connection");
+        harness.note("-- one endpoint refuses a connection");
         let last = harness.last_endpoint();
         harness.after_ms(1).finish(13, 0, last, AttemptOutcome::ConnectFailed);
         harness.request(14, READ, 1, 0.1).request(15, READ, 2, 0.1).request(16, READ, 3, 0.1);
-        harness.note("-- the snapshot is back without 1: it is right, and what it drops serves on by its answers alone");
+        harness.note("-- a snapshot without endpoint 1 is trusted; 1 can stay in use only by its answers");
         harness.balancer.on_endpoint_snapshot(harness.now, &one_kind(&[2, 3, 4]));
         harness.request(17, READ, 1, 0.1).request(18, READ, 2, 0.1).request(19, READ, 3, 0.1);
         harness.trace()[harness.trace().find("--").unwrap()..].replace("\n  ", " | ").replace("  ", "")
     };
     expect![[r#"
-        -- endpoint 4 drains, then all are gone; 3 never answered
+        -- endpoint 4 drains, then all are removed; 3 has never answered
         request 10 of class 0 arrives | send request 10 to 2
         request 11 of class 0 arrives | send request 11 to 1
         request 12 of class 0 arrives | send request 12 to 1
         request 13 of class 0 arrives | send request 13 to 2
-        -- one refuses a connection
+        -- one endpoint refuses a connection
         attempt 0 of request 13 at 2: ConnectFailed | log: endpoint 2 ejected for 205 ms: its connection failed | send request 13 to 1
         request 14 of class 0 arrives
         request 15 of class 0 arrives
         request 16 of class 0 arrives
-        -- the snapshot is back without 1: it is right, and what it drops serves on by its answers alone | send request 14 to 3 | send request 15 to 4 | send request 16 to 4
+        -- a snapshot without endpoint 1 is trusted; 1 can stay in use only by its answers | send request 14 to 3 | send request 15 to 4 | send request 16 to 4
         request 17 of class 0 arrives | send request 17 to 3
         request 18 of class 0 arrives | send request 18 to 3
         request 19 of class 0 arrives
     "#]].assert_eq(&trace_when(true));
     expect![[r#"
-        -- endpoint 4 drains, then all are gone; 3 never answered
+        -- endpoint 4 drains, then all are removed; 3 has never answered
         request 10 of class 0 arrives | reject request 10, retry after a while
         request 11 of class 0 arrives | reject request 11, retry after a while
         request 12 of class 0 arrives | reject request 12, retry after a while
         request 13 of class 0 arrives | reject request 13, retry after a while
-        -- one refuses a connection
+        -- one endpoint refuses a connection
         attempt 0 of request 13 at 1: ConnectFailed | log: endpoint 1 ejected for 190 ms: its connection failed
         request 14 of class 0 arrives | reject request 14, retry after a while
         request 15 of class 0 arrives | reject request 15, retry after a while
         request 16 of class 0 arrives | reject request 16, retry after a while
-        -- the snapshot is back without 1: it is right, and what it drops serves on by its answers alone
+        -- a snapshot without endpoint 1 is trusted; 1 can stay in use only by its answers
         request 17 of class 0 arrives | send request 17 to 2
         request 18 of class 0 arrives | send request 18 to 3
         request 19 of class 0 arrives | send request 19 to 4
@@ -73,10 +73,10 @@
     .assert_eq(&trace_when(false));
 }
 
-/// Of a hundred balancers, those that use the one newcomer before and after a wrong list drops all endpoints
-/// but it.
+/// Counts how many of a hundred balancers use the only new endpoint before and after a wrong list drops all
+/// other endpoints.
 #[test]
-fn a_warming_endpoint_is_not_used_by_all_balancers_when_a_list_drops_the_others() {
+fn wrong_list_does_not_send_all_balancers_to_one_endpoint() {
     let users = |drops: bool| {
         let uses = |&balancer_index: &u32| {
             let settings =
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn nothing_new_goes_to_a_draining_endpoint_or_one_missing_from_a_snapshot() {
+fn draining_or_missing_endpoint_gets_no_new_requests() {
     let mut harness = Harness::new(settings(), &one_kind(&[1, 2]));
     harness
         .balancer
@@ -112,7 +112,7 @@
     harness.note("-- a snapshot names only endpoint 1");
     harness.balancer.on_endpoint_snapshot(harness.now, &one_kind(&[1]));
     harness.request(3, READ, 1, 0.1).request(4, READ, 2, 0.1);
-    harness.note("-- no endpoint at all");
+    harness.note("-- a snapshot without endpoints");
     harness.balancer.on_endpoint_snapshot(harness.now, &[]);
     harness.request(5, ORDER, 1, 0.1);
     harness.finish(5, 0, 1, AttemptOutcome::NotSent).finish(99, 0, 77, AttemptOutcome::Succeeded);
@@ -125,7 +125,7 @@
             -- a snapshot names only endpoint 1
             request 3 of class 0 arrives | send request 3 to 1
             request 4 of class 0 arrives | send request 4 to 1
-            -- no endpoint at all
+            -- a snapshot without endpoints
             request 5 of class 2 arrives
             attempt 0 of request 5 at 1: NotSent | reject request 5, retry after a while
             attempt 0 of request 99 at 77: Succeeded
@@ -136,7 +136,7 @@
 #[test]
 fn discovery_is_asked_again_after_an_error() {
     let mut harness = Harness::new(settings(), &one_kind(&[1]));
-    harness.note("the call fails; then its timer goes off");
+    harness.note("the call fails, then its timer fires");
     harness.balancer.on_discovery_error(harness.now);
     harness.balancer.on_timer(Timestamp(1_100_000), TimerId(1 << 32));
     harness.balancer.on_endpoint_updates(harness.now, &one_kind(&[1, 2]));
@@ -144,24 +144,24 @@
         &harness,
         expect![[r#"
             watch endpoints
-            the call fails; then its timer goes off | watch endpoints
+            the call fails, then its timer fires | watch endpoints
         "#]],
     );
 }
 
 #[test]
-fn updates_that_repeat_drop_and_restore_an_endpoint_are_followed() {
+fn updates_may_repeat_remove_and_restore_an_endpoint() {
     let mut harness = Harness::new(settings(), &one_kind(&[1, 1, 2]));
     harness.request(1, READ, 1, 0.1);
     let first = harness.last_endpoint();
-    harness.note("-- its endpoint is dropped, its attempt still ends; then it is back as it was");
+    harness.note("-- its endpoint is removed, its attempt still finishes, and the endpoint is restored");
     harness
         .balancer
         .on_endpoint_updates(harness.now, &[with_status(EndpointStatus::Removed, ready_update(first, 0))]);
     harness.request(2, READ, 1, 0.1).after_ms(100).finish(1, 0, first, AttemptOutcome::Succeeded);
     harness.balancer.on_endpoint_updates(harness.now, &[ready_update(first, 0), ready_update(first, 0)]);
     harness.request(3, READ, 1, 0.1);
-    harness.note("-- an endpoint never heard of is gone; a kind never heard of belongs to default");
+    harness.note("-- an unknown endpoint is removed; an unknown kind belongs to the default pool");
     harness
         .balancer
         .on_endpoint_updates(harness.now, &[with_status(EndpointStatus::Removed, ready_update(9, 0))]);
@@ -172,26 +172,26 @@
         expect![[r#"
             watch endpoints
             request 1 of class 0 arrives | send request 1 to 2
-            -- its endpoint is dropped, its attempt still ends; then it is back as it was
+            -- its endpoint is removed, its attempt still finishes, and the endpoint is restored
             request 2 of class 0 arrives | send request 2 to 1
             attempt 0 of request 1 at 2: Succeeded
             request 3 of class 0 arrives | send request 3 to 2
-            -- an endpoint never heard of is gone; a kind never heard of belongs to default
+            -- an unknown endpoint is removed; an unknown kind belongs to the default pool
             request 4 of class 0 arrives | send request 4 to 8
         "#]],
     );
 }
 
-/// Endpoints are replaced all day; those that are gone are not kept for ever, nor their ejections and
+/// Endpoints are replaced continuously, so removed ones must not be kept forever, nor their ejections and
 /// samples.
 #[test]
-fn an_endpoint_long_removed_is_forgotten() {
+fn a_long_removed_endpoint_is_evicted() {
     let mut harness = Harness::new(settings(), &one_kind(&[1, 2]));
     harness.warm_up(8).request(1, READ, 1, 0.1);
     let failed = harness.last_endpoint();
     harness.finish(1, 0, failed, AttemptOutcome::ConnectionReset);
     for (seconds, others) in [(1, 0), (30, 1)] {
-        harness.note(&format!("-- gone, and back after {seconds} s"));
+        harness.note(&format!("-- removed, and restored after {seconds} s"));
         harness.balancer.on_endpoint_updates(
             harness.now,
             &[with_status(EndpointStatus::Removed, ready_update(failed, 0))],
@@ -206,9 +206,9 @@
     }
     check_after(
         &harness,
-        "-- gone",
+        "-- removed",
         expect![[r#"
-            , and back after 1 s
+            -- removed, and restored after 1 s
             request 10 of class 2 arrives | send request 10 to 1
             attempt 0 of request 10 at 1: Succeeded
             request 11 of class 2 arrives | send request 11 to 1
@@ -217,7 +217,7 @@
             attempt 0 of request 12 at 1: Succeeded
             request 13 of class 2 arrives | send request 13 to 1
             attempt 0 of request 13 at 1: Succeeded
-            -- gone, and back after 30 s
+            -- removed, and restored after 30 s
             request 20 of class 2 arrives | send request 20 to 2
             attempt 0 of request 20 at 2: Succeeded
             request 21 of class 2 arrives | send request 21 to 2
--- a/tests/decisions/dispatcher.rs
+++ b/tests/decisions/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The same decisions as network code meets them.
+//! The decisions through the interface for network code.
 
 use crate::common::{ORDER, READ, TOP_UP, Trace, ready_update, settings};
 use crate::one_kind;
@@ -20,7 +20,7 @@
     }
 }
 
-/// What is ready at once; `None` where one would have to wait.
+/// Returns the output of a future that is ready, or `None` if it is pending.
 fn now_or_never<T>(future: impl Future<Output = T>) -> Option<T> {
     let mut context = Context::from_waker(Waker::noop());
     match std::pin::pin!(future).poll(&mut context) {
@@ -49,12 +49,12 @@
 fn next_attempt(dispatcher: &Dispatcher, request: RequestId) -> Attempt {
     match now_or_never(dispatcher.next_step(request)) {
         Some(NextStep::Attempt(attempt)) => attempt,
-        other => panic!("an attempt expected, not {other:?}"),
+        other => panic!("expected an attempt, got {other:?}"),
     }
 }
 
 #[test]
-fn one_answer_is_final_and_the_other_attempt_is_cancelled() {
+fn first_answer_is_final_and_other_attempt_is_cancelled() {
     let trace = Trace::default();
     let dispatcher = new_dispatcher(&trace);
     let request = submit(&dispatcher, Timestamp(0), READ);
@@ -64,7 +64,7 @@
         first.endpoint.0,
         now_or_never(dispatcher.next_step(request))
     ));
-    let next = dispatcher.tick(Timestamp(0), DiscoveryEvent::None).expect("patience that ends");
+    let next = dispatcher.tick(Timestamp(0), DiscoveryEvent::None).expect("a hedge timer");
     trace.line(format_args!("tick at {}: {:?}", next.0, dispatcher.tick(next, DiscoveryEvent::None)));
     let second = next_attempt(&dispatcher, request);
     trace.line(format_args!("attempt to {}", second.endpoint.0));
@@ -75,7 +75,7 @@
     ));
     trace.line(format_args!("cancelled: {:?}", now_or_never(dispatcher.cancelled(&first))));
     trace.line(format_args!(
-        "first answers as well: {}",
+        "first answers too: {}",
         dispatcher.report_attempt(Timestamp(4001), first, AttemptOutcome::Succeeded)
     ));
     trace.line(format_args!("next {:?}", now_or_never(dispatcher.next_step(request))));
@@ -86,47 +86,47 @@
         cancelled: None
         second answers: true
         cancelled: Some(())
-        first answers as well: false
+        first answers too: false
         next None
     "#]]
     .assert_eq(&trace.text());
 }
 
-/// Prevents an effect done twice: the window passes, or an endpoint is replaced, between the decision and the
-/// first byte.
+/// Guards against a repeated effect if the window passes, or the endpoint is replaced, between the decision
+/// and the first byte.
 #[test]
-fn a_retry_may_begin_only_within_its_window_and_where_its_endpoint_still_shares_the_scope() {
+fn retry_begins_only_within_window_and_dedup_scope() {
     let trace = Trace::default();
     let dispatcher = new_dispatcher(&trace);
     dispatcher.tick(Timestamp(0), DiscoveryEvent::Snapshot(&one_kind(&[10, 12, 14])));
     let request = submit(&dispatcher, Timestamp(0), TOP_UP);
     let first = next_attempt(&dispatcher, request);
     let began = [Timestamp(0), Timestamp(14_000)].map(|at| dispatcher.begin_check(&first)(at));
-    trace.line(format_args!("the first, where nothing may have run, early and late: {began:?}"));
+    trace.line(format_args!("first attempt may begin, early and late: {began:?}"));
     dispatcher.report_attempt(Timestamp(1_000), first, AttemptOutcome::ConnectionReset);
     let second = next_attempt(&dispatcher, request);
     let may_begin = dispatcher.begin_check(&second);
     trace.line(format_args!(
-        "the repeat within 1 s of the first, and then: {:?}",
+        "repeat may begin, within the window of 1 s and after it: {:?}",
         [9_999, 10_000].map(Timestamp).map(&may_begin)
     ));
     let moved = EndpointUpdate { zone: ZoneId(1), ..ready_update(second.endpoint.0, 0) };
     dispatcher.tick(Timestamp(5_000), DiscoveryEvent::Updates(&[moved]));
-    trace.line(format_args!("once another zone has its endpoint: {}", may_begin(Timestamp(5_000))));
+    trace.line(format_args!("after its endpoint moved to another zone: {}", may_begin(Timestamp(5_000))));
     dispatcher.report_client_gone(Timestamp(5_000), request);
-    trace.line(format_args!("once its client has gone: {}", may_begin(Timestamp(5_000))));
+    trace.line(format_args!("after its client has gone: {}", may_begin(Timestamp(5_000))));
     expect![[r#"
-        the first, where nothing may have run, early and late: [true, true]
+        first attempt may begin, early and late: [true, true]
           log: endpoint 14 ejected for 743 ms: its connection broke
-        the repeat within 1 s of the first, and then: [true, false]
-        once another zone has its endpoint: false
-        once its client has gone: false
+        repeat may begin, within the window of 1 s and after it: [true, false]
+        after its endpoint moved to another zone: false
+        after its client has gone: false
     "#]]
     .assert_eq(&trace.text());
 }
 
 #[test]
-fn a_request_gets_one_final_answer_and_a_client_that_has_gone_is_forgotten() {
+fn request_gets_one_final_answer_unless_its_client_has_gone() {
     let trace = Trace::default();
     let dispatcher = new_dispatcher(&trace);
     let (gone, broken) = (submit(&dispatcher, Timestamp(0), ORDER), submit(&dispatcher, Timestamp(0), ORDER));
@@ -134,12 +134,12 @@
     dispatcher.report_client_gone(Timestamp(10), gone);
     trace.line(format_args!("cancelled: {:?}", now_or_never(dispatcher.cancelled(&attempt))));
     trace.line(format_args!(
-        "an answer all the same: {}",
+        "answer after that: {}",
         dispatcher.report_attempt(Timestamp(20), attempt, AttemptOutcome::Succeeded)
     ));
     let attempt = next_attempt(&dispatcher, broken);
     trace.line(format_args!(
-        "breaks: {}",
+        "connection reset: {}",
         dispatcher.report_attempt(Timestamp(30), attempt, AttemptOutcome::ConnectionReset)
     ));
     trace.line(format_args!("next {:?}", now_or_never(dispatcher.next_step(broken))));
@@ -147,34 +147,34 @@
     let never_fetched = submit(&dispatcher, Timestamp(40), READ);
     dispatcher.report_client_gone(Timestamp(50), never_fetched);
     dispatcher.tick(Timestamp(60), DiscoveryEvent::Error);
-    trace.line(format_args!("asked for the list at once: {:?}", now_or_never(dispatcher.watch_wanted())));
-    trace.line(format_args!("wanted again: {:?}", now_or_never(dispatcher.watch_wanted())));
+    trace.line(format_args!("watch wanted at the start: {:?}", now_or_never(dispatcher.watch_wanted())));
+    trace.line(format_args!("watch wanted again: {:?}", now_or_never(dispatcher.watch_wanted())));
     dispatcher.tick(Timestamp(100_000), DiscoveryEvent::None);
-    trace.line(format_args!("then: {:?}", now_or_never(dispatcher.watch_wanted())));
+    trace.line(format_args!("watch wanted after the backoff: {:?}", now_or_never(dispatcher.watch_wanted())));
     expect![[r#"
         cancelled: Some(())
-        an answer all the same: false
+        answer after that: false
           log: endpoint 10 ejected for 573 ms: its connection broke
-        breaks: false
+        connection reset: false
         next Some(Fail)
         and then None
-        asked for the list at once: Some(())
-        wanted again: None
-        then: Some(())
+        watch wanted at the start: Some(())
+        watch wanted again: None
+        watch wanted after the backoff: Some(())
     "#]]
     .assert_eq(&trace.text());
 }
 
 #[test]
-fn an_attempt_that_was_not_fetched_in_time_does_not_stay_in_flight() {
+fn attempt_that_was_not_fetched_does_not_stay_in_flight() {
     let trace = Trace::default();
     let dispatcher = new_dispatcher(&trace);
     let request = submit(&dispatcher, Timestamp(0), READ);
     let first = next_attempt(&dispatcher, request);
-    let next = dispatcher.tick(Timestamp(0), DiscoveryEvent::None).expect("patience that ends");
+    let next = dispatcher.tick(Timestamp(0), DiscoveryEvent::None).expect("a hedge timer");
     dispatcher.tick(next, DiscoveryEvent::None);
     trace.line(format_args!(
-        "hedged request decided; first answers: {}",
+        "hedged request started; first attempt answers: {}",
         dispatcher.report_attempt(next, first, AttemptOutcome::Succeeded)
     ));
     for _ in 0..2 {
@@ -182,7 +182,7 @@
         trace.line(format_args!("attempt to {}", attempt.endpoint.0));
     }
     expect![[r#"
-        hedged request decided; first answers: true
+        hedged request started; first attempt answers: true
         attempt to 11
         attempt to 10
     "#]]
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -1,5 +1,5 @@
-//! Traces of decisions, to be read by people: what happens, then what the balancer does about it behind a
-//! bar.
+//! Traces of decisions for human readers: each event is followed by what the balancer does, separated by
+//! bars.
 
 mod admission;
 #[path = "../common/mod.rs"]
@@ -23,7 +23,7 @@
 
 use common::{Harness, ready_update, settings};
 
-/// The trace, each event on one line with what the balancer does about it.
+/// Returns the trace with each event and what the balancer does on one line.
 fn trace_of(harness: &Harness) -> String {
     harness.trace().replace("\n  ", " | ").replace("  ", "")
 }
@@ -32,9 +32,11 @@
     expected.assert_eq(&trace_of(harness));
 }
 
-/// Only what comes after this beginning of a note.
+/// Checks only the part of the trace that begins with this note.
 fn check_after(harness: &Harness, note: &str, expected: Expect) {
-    expected.assert_eq(trace_of(harness).split_once(note).expect("the note").1);
+    let trace = trace_of(harness);
+    let (_, rest) = trace.split_once(note).expect("a trace with the note");
+    expected.assert_eq(&format!("{note}{rest}"));
 }
 
 /// Kind 0 has four endpoints (default pool), kind 1 three (small pool), kinds 2 and 3 one each (range pools).
@@ -51,8 +53,8 @@
     EndpointUpdate { status, ..update }
 }
 
-/// One of many balancers with little traffic, in zone 0, before endpoints that report their load to probes;
-/// those with even ids are in zone 0 too.
+/// One of many balancers with little traffic, in zone 0, with endpoints that report their load to probes.
+/// Endpoints with even ids are in zone 0 too.
 fn quiet_balancer() -> Settings {
     let classes = settings().classes;
     let classes = classes.into_iter().map(|class| RequestClass { late_weight_ratio: 0.5, ..class }).collect();
@@ -66,7 +68,7 @@
     }
 }
 
-/// The same where probes are too expensive, and connections are free.
+/// The same settings, but probes are too expensive and connections are free.
 fn without_probes() -> Settings {
     Settings { probe_cost_ratio: 0.03, connections_free: true, ..quiet_balancer() }
 }
--- a/tests/decisions/outliers.rs
+++ b/tests/decisions/outliers.rs
@@ -1,4 +1,4 @@
-//! Which endpoints are ejected, and how they come back.
+//! Which endpoints are ejected, and when they are used again.
 
 use crate::common::{Harness, ORDER, READ, settings};
 use crate::{check, one_kind, trace_of};
@@ -7,7 +7,7 @@
 use expect_test::expect;
 
 #[test]
-fn an_unresponsive_endpoint_gets_no_more_requests_and_its_idempotent_ones_are_hedged() {
+fn unresponsive_endpoint_is_avoided_and_requests_hedged() {
     let mut harness = Harness::new(settings(), &one_kind(&[1, 2]));
     harness.warm_up(20).request(1, READ, 1, 0.1);
     let unresponsive = harness.last_endpoint();
@@ -32,7 +32,7 @@
             request 2 of class 0 arrives | send request 2 to 1
             attempt 0 of request 2 at 1: Succeeded
             request 3 of class 2 arrives | send request 3 to 1
-            the timer of request 1 goes off | send request 1 to 1
+            the timer of request 1 fires | send request 1 to 1
             attempt 1 of request 1 at 1: Succeeded | cancel attempt 0 of request 1
             attempt 0 of request 1 at 2: Cancelled | log: endpoint 2 ejected for 152 ms: no answer
         "#]],
@@ -47,7 +47,7 @@
     harness.after_ms(1).finish(1, 0, failing, AttemptOutcome::ErrorAnswer);
     let other = harness.last_endpoint();
     harness.after_ms(100).finish(1, 1, other, AttemptOutcome::Succeeded);
-    harness.note("-- after its wait: not an non-idempotent request first");
+    harness.note("-- after the wait, a non-idempotent request is not used as a probe request");
     harness.after_ms(5000).request(2, ORDER, 1, 0.1).request(3, READ, 1, 0.1).request(4, READ, 1, 0.1);
     harness.after_ms(100).finish(3, 0, failing, AttemptOutcome::Succeeded).request(5, READ, 1, 0.1);
     harness.after_ms(100).finish(5, 0, failing, AttemptOutcome::Succeeded).request(6, ORDER, 1, 0.1);
@@ -57,7 +57,7 @@
             request 1 of class 0 arrives | send request 1 to 2
             attempt 0 of request 1 at 2: ErrorAnswer | log: endpoint 2 ejected for 162 ms: an error | send request 1 to 1
             attempt 1 of request 1 at 1: Succeeded
-            -- after its wait: not an non-idempotent request first
+            -- after the wait, a non-idempotent request is not used as a probe request
             request 2 of class 2 arrives | send request 2 to 1
             request 3 of class 0 arrives | send request 3 to 2
             request 4 of class 0 arrives | send request 4 to 1
@@ -69,9 +69,9 @@
     );
 }
 
-/// Where answers are broken alike at all endpoints, none is ejected for it.
+/// If answers fail in the same way at all endpoints, none is ejected for it.
 #[test]
-fn failures_that_all_endpoints_share_eject_none() {
+fn failures_common_to_all_endpoints_eject_none() {
     let mut harness = Harness::new(settings(), &one_kind(&[10, 11, 12, 13]));
     harness.warm_up(8);
     for request in 0..64 {
@@ -85,7 +85,7 @@
             harness.after_ms(50).finish(request, 1, further, AttemptOutcome::Succeeded);
         }
     }
-    harness.note("-- one fails all that it gets");
+    harness.note("-- endpoint 12 fails all its requests");
     for request in 64..80 {
         harness.request(request, READ, u64::from(request), 0.1);
         if harness.last_endpoint() == 12 {
@@ -100,14 +100,14 @@
     let ejections = ejections.split('\n').filter(|line| line.contains("ejected") || line.starts_with("--"));
     expect![[r#"
         attempt 0 of request 5 at 13: ConnectionReset | log: endpoint 13 ejected for 190 ms: its connection broke | send request 5 to 11
-        -- one fails all that it gets
+        -- endpoint 12 fails all its requests
         attempt 0 of request 76 at 12: ErrorAnswer | log: endpoint 12 ejected for 187 ms: an error | send request 76 to 13"#]].assert_eq(&ejections.collect::<Vec<_>>().join("\n"));
 }
 
-/// Prevents rejections of requests that may run again while an endpoint that fails some of its requests
-/// stands idle.
+/// Guards against rejecting idempotent requests while an endpoint that fails only some of its requests is
+/// idle.
 #[test]
-fn an_ejected_endpoint_takes_idempotent_requests_when_no_other_has_room() {
+fn ejected_endpoint_gets_idempotent_requests_as_last_resort() {
     let mut harness = Harness::new(settings(), &one_kind(&[1, 2]));
     harness.warm_up(8).request(1, READ, 1, 0.1);
     let (failing, trusted) = (harness.last_endpoint(), 3 - harness.last_endpoint());
@@ -118,7 +118,7 @@
         AttemptOutcome::Succeeded,
     );
     harness.request(2, ORDER, 1, 0.1).request(3, ORDER, 1, 0.1).request(4, ORDER, 1, 0.1);
-    harness.request(5, READ, 1, 0.1).request(6, ORDER, 1, 0.1).note("-- but not where nobody listens");
+    harness.request(5, READ, 1, 0.1).request(6, ORDER, 1, 0.1).note("-- but not if it refuses connections");
     harness.finish(5, 0, failing, AttemptOutcome::ConnectFailed).request(7, READ, 1, 0.1);
     check(
         &harness,
@@ -131,7 +131,7 @@
             request 4 of class 2 arrives | send request 4 to 1
             request 5 of class 0 arrives | send request 5 to 2
             request 6 of class 2 arrives
-            -- but not where nobody listens
+            -- but not if it refuses connections
             attempt 0 of request 5 at 2: ConnectFailed | reject request 5, retry after a while
             request 7 of class 0 arrives
         "#]],
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn an_unresponsive_endpoint_is_ejected_for_longer_than_quick_answers_suggest() {
+fn ejection_lasts_longer_after_a_long_unanswered_attempt() {
     let mut harness = Harness::new(settings(), &one_kind(&[1, 2, 3]));
     harness.warm_up(20).request(1, READ, 1, 0.1);
     let unresponsive = harness.last_endpoint();
@@ -186,14 +186,14 @@
     );
 }
 
-/// Prevents a word of others that outweighs an own answer, leaves nobody to attempt to, keeps an endpoint out
-/// for good, or draws request after request to one that fails.
+/// Guards against reports by peers that outweigh a newer answer to this balancer, eject too many endpoints,
+/// keep an endpoint ejected forever, or send one request after the other to an endpoint that fails.
 #[test]
-fn an_endpoint_that_peers_report_is_probed_later_unless_an_own_answer_is_newer_or_too_few_are_left() {
+fn peer_fault_report_is_limited_by_own_evidence() {
     let mut harness = Harness::new(settings(), &one_kind(&[1, 2, 3]));
     harness.warm_up(30);
     let report_fault = |harness: &mut Harness, endpoint: u32, ms_ago: i64| {
-        harness.note(&format!("{endpoint} is said to be faulty by evidence of {ms_ago} ms ago"));
+        harness.note(&format!("peers report {endpoint} as faulty by evidence from {ms_ago} ms ago"));
         let since = harness.now - Ticks(ms_ago * 10);
         harness.balancer.on_fault_report(harness.now, EndpointId(endpoint), since);
     };
@@ -201,10 +201,10 @@
     harness.after_ms(2000);
     report_fault(&mut harness, 1, 100);
     harness.request(1, READ, 1, 0.1).answered(1, 100).request(2, READ, 2, 0.1).answered(2, 100);
-    harness.note("-- later one that may run again tries it").after_ms(1200).request(3, READ, 3, 0.1);
+    harness.note("-- later an idempotent request probes it").after_ms(1200).request(3, READ, 3, 0.1);
     report_fault(&mut harness, 2, 0);
     harness.after_ms(50).finish(3, 0, 1, AttemptOutcome::ErrorAnswer);
-    harness.note("-- it has failed, and the next do not try it for as long as others do").answered(3, 50);
+    harness.note("-- the probe request failed; reports by peers delay the next one").answered(3, 50);
     for request in 10..16 {
         harness.after_ms(700);
         report_fault(&mut harness, 1, 10);
@@ -213,34 +213,34 @@
     check(
         &harness,
         expect![[r#"
-            1 is said to be faulty by evidence of 60000 ms ago
-            1 is said to be faulty by evidence of 100 ms ago
+            peers report 1 as faulty by evidence from 60000 ms ago
+            peers report 1 as faulty by evidence from 100 ms ago
             request 1 of class 0 arrives | send request 1 to 2
             attempt 0 of request 1 at 2: Succeeded
             request 2 of class 0 arrives | send request 2 to 2
             attempt 0 of request 2 at 2: Succeeded
-            -- later one that may run again tries it
+            -- later an idempotent request probes it
             request 3 of class 0 arrives | send request 3 to 1
-            2 is said to be faulty by evidence of 0 ms ago
+            peers report 2 as faulty by evidence from 0 ms ago
             attempt 0 of request 3 at 1: ErrorAnswer | log: endpoint 1 ejected for 186 ms: an error | send request 3 to 3
-            -- it has failed, and the next do not try it for as long as others do
+            -- the probe request failed; reports by peers delay the next one
             attempt 0 of request 3 at 3: Succeeded | cancel attempt 1 of request 3
-            1 is said to be faulty by evidence of 10 ms ago
+            peers report 1 as faulty by evidence from 10 ms ago
             request 10 of class 0 arrives | send request 10 to 3
             attempt 0 of request 10 at 3: Succeeded
-            1 is said to be faulty by evidence of 10 ms ago
+            peers report 1 as faulty by evidence from 10 ms ago
             request 11 of class 0 arrives | send request 11 to 3
             attempt 0 of request 11 at 3: Succeeded
-            1 is said to be faulty by evidence of 10 ms ago
+            peers report 1 as faulty by evidence from 10 ms ago
             request 12 of class 0 arrives | send request 12 to 3
             attempt 0 of request 12 at 3: Succeeded
-            1 is said to be faulty by evidence of 10 ms ago
+            peers report 1 as faulty by evidence from 10 ms ago
             request 13 of class 0 arrives | send request 13 to 1
             attempt 0 of request 13 at 1: Succeeded
-            1 is said to be faulty by evidence of 10 ms ago
+            peers report 1 as faulty by evidence from 10 ms ago
             request 14 of class 0 arrives | send request 14 to 1
             attempt 0 of request 14 at 1: Succeeded
-            1 is said to be faulty by evidence of 10 ms ago
+            peers report 1 as faulty by evidence from 10 ms ago
             request 15 of class 0 arrives | send request 15 to 3
             attempt 0 of request 15 at 3: Succeeded
         "#]],
--- a/tests/decisions/queue.rs
+++ b/tests/decisions/queue.rs
@@ -8,34 +8,34 @@
 use expect_test::expect;
 
 #[test]
-fn room_goes_to_the_highest_weight_and_the_rest_is_rejected_at_once() {
+fn full_queue_keeps_highest_weights_and_rejects_the_rest() {
     let mut harness = Harness::new(settings(), &one_kind(&[1]));
     harness.warm_up(20);
     for request in 1..12 {
         harness.request(request, READ, 1, 0.1);
     }
     harness.request(12, ORDER, 1, 0.1).request(13, READ, 1, 0.1);
-    harness.note("-- room goes to the best weight first");
+    harness.note("-- free capacity goes to the highest weight");
     harness.after_ms(100).finish(1, 0, 1, AttemptOutcome::Succeeded);
-    harness.note("-- no further attempt while overload is seen");
+    harness.note("-- no retry under overload");
     harness.after_ms(10).finish(2, 0, 1, AttemptOutcome::ConnectionReset);
     check_after(
         &harness,
         "request 11 of class 0 arrives",
         expect![[r#"
-             | reject request 11, retry after a while
+            request 11 of class 0 arrives | reject request 11, retry after a while
             request 12 of class 2 arrives | reject request 6, retry after a while
             request 13 of class 0 arrives | reject request 13, retry after a while
-            -- room goes to the best weight first
+            -- free capacity goes to the highest weight
             attempt 0 of request 1 at 1: Succeeded | send request 12 to 1
-            -- no further attempt while overload is seen
+            -- no retry under overload
             attempt 0 of request 2 at 1: ConnectionReset | log: endpoint 1 ejected for 185 ms: its connection broke | reject request 2, retry after a while | send request 4 to 1
         "#]],
     );
 }
 
 #[test]
-fn a_heavy_request_that_waits_does_not_hold_up_lighter_ones() {
+fn waiting_heavy_request_does_not_block_lighter_ones() {
     let now = Timestamp(1_000_000);
     let started: Vec<EndpointUpdate> = one_kind(&[1, 2, 3, 4, 5, 6])
         .into_iter()
@@ -48,7 +48,7 @@
         .request(3, READ, 1, 0.1)
         .request(4, READ, 1, 0.1)
         .request(5, READ, 1, 0.1);
-    harness.note("-- too heavy for any warming endpoint: it waits, and a lighter one goes past it");
+    harness.note("-- request 6 is too heavy for any warming endpoint and waits; request 7 is placed");
     harness.request(6, ORDER, 1, 0.3).request(7, READ, 2, 0.1);
     check(
         &harness,
@@ -60,7 +60,7 @@
             request 3 of class 0 arrives | send request 3 to 3
             request 4 of class 0 arrives | send request 4 to 5
             request 5 of class 0 arrives | send request 5 to 4
-            -- too heavy for any warming endpoint: it waits, and a lighter one goes past it
+            -- request 6 is too heavy for any warming endpoint and waits; request 7 is placed
             request 6 of class 2 arrives
             request 7 of class 0 arrives | send request 7 to 6
         "#]],
@@ -68,11 +68,16 @@
 }
 
 #[test]
-fn a_request_waits_for_the_end_of_a_pause_and_unused_connections_are_closed() {
+fn request_waits_for_pacing_and_unused_connections_close() {
     let mut harness = Harness::new(Settings { balancer_count: 40, ..settings() }, &one_kind(&[1, 2, 3]));
     harness.request(1, READ, 1, 0.1).answered(1, 30).request(2, READ, 1, 0.1).answered(2, 30);
-    harness.note("-- both are paused").request(3, READ, 1, 0.1).after_ms(300).fire_timer(3).answered(3, 30);
-    harness.note("-- a step-in").after_ms(900).request(4, READ, 1, 0.1).finish(
+    harness
+        .note("-- both endpoints are paused")
+        .request(3, READ, 1, 0.1)
+        .after_ms(300)
+        .fire_timer(3)
+        .answered(3, 30);
+    harness.note("-- endpoint 3 is ejected and 2 replaces it").after_ms(900).request(4, READ, 1, 0.1).finish(
         4,
         0,
         3,
@@ -88,11 +93,11 @@
         &harness,
         "-- both",
         expect![[r#"
-             are paused
+            -- both endpoints are paused
             request 3 of class 0 arrives
-            the timer of request 3 goes off | send request 3 to 3
+            the timer of request 3 fires | send request 3 to 3
             attempt 0 of request 3 at 3: Succeeded
-            -- a step-in
+            -- endpoint 3 is ejected and 2 replaces it
             request 4 of class 0 arrives | send request 4 to 3
             attempt 0 of request 4 at 3: ConnectFailed | log: endpoint 3 ejected for 61 ms: its connection failed | send request 4 to 2
             attempt 1 of request 4 at 2: Succeeded
--- a/tests/decisions/requests.rs
+++ b/tests/decisions/requests.rs
@@ -1,4 +1,4 @@
-//! Events of requests that are over or streaming.
+//! Events of finished or streaming requests.
 
 use crate::common::{Harness, ORDER, READ, settings};
 use crate::{check, one_kind};
@@ -7,14 +7,14 @@
 use expect_test::expect;
 
 #[test]
-fn an_abandoned_request_is_forgotten_and_late_events_of_it_are_ignored() {
+fn late_events_of_an_abandoned_request_are_ignored() {
     let mut harness = Harness::new(settings(), &one_kind(&[1, 2]));
     harness.warm_up(20).request(1, READ, 1, 0.1);
     let first = harness.last_endpoint();
     harness.balancer.on_request_abandoned(harness.now, RequestId(1));
     harness.finish(1, 0, first, AttemptOutcome::Cancelled).fire_timer(1);
     harness.balancer.on_request_abandoned(harness.now, RequestId(1));
-    harness.note("-- time already spent; a cost of absurd size; no cost");
+    harness.note("-- an expired deadline; an absurd cost estimate; no cost estimate");
     harness.arrive(2, ORDER, None, Some(0.1), 0.0).arrive(3, ORDER, None, Some(1e300), 1.5);
     harness.arrive(4, READ, Some(KeyHash(1)), None, 1.5);
     check(
@@ -22,8 +22,8 @@
         expect![[r#"
             request 1 of class 0 arrives | send request 1 to 2 | cancel attempt 0 of request 1
             attempt 0 of request 1 at 2: Cancelled
-            the timer of request 1 goes off
-            -- time already spent; a cost of absurd size; no cost
+            the timer of request 1 fires
+            -- an expired deadline; an absurd cost estimate; no cost estimate
             request 2 of class 2 arrives | reject request 2
             request 3 of class 2 arrives | send request 3 to 1
             request 4 of class 0 arrives | send request 4 to 2
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn timers_no_longer_needed_and_streaming_requests_are_left_alone() {
+fn streaming_or_finished_request_ignores_its_timer() {
     let mut harness = Harness::new(settings(), &one_kind(&[1, 2]));
     harness.warm_up(20).request(1, READ, 1, 0.1);
     harness.balancer.on_stream_started(harness.now, RequestId(1));
@@ -43,10 +43,10 @@
         &harness,
         expect![[r#"
             request 1 of class 0 arrives | send request 1 to 2
-            the timer of request 1 goes off
-            the timer of request 77 goes off
+            the timer of request 1 fires
+            the timer of request 77 fires
             attempt 0 of request 1 at 2: Succeeded
-            the timer of request 1 goes off
+            the timer of request 1 fires
         "#]],
     );
 }
--- a/tests/decisions/retries.rs
+++ b/tests/decisions/retries.rs
@@ -1,4 +1,4 @@
-//! Which requests are sent again, and which are not.
+//! Which requests are sent again.
 
 use crate::common::{Harness, ORDER, READ, TOP_UP, ready_update, settings};
 use crate::{check, one_kind};
@@ -7,7 +7,7 @@
 use expect_test::expect;
 
 #[test]
-fn a_non_idempotent_request_is_retried_after_a_failed_connect_but_never_after_a_reset() {
+fn non_idempotent_request_is_retried_only_if_connect_failed() {
     let mut harness = Harness::new(settings(), &one_kind(&[1, 2, 3]));
     harness.warm_up(20).request(1, ORDER, 1, 0.1);
     let first = harness.last_endpoint();
@@ -27,36 +27,36 @@
 }
 
 #[test]
-fn a_deduplicated_request_is_retried_within_its_zone_and_window_only() {
+fn deduplicated_request_is_retried_within_zone_and_window() {
     let mut harness = Harness::new(settings(), &one_kind(&[1, 2, 3, 4, 5]));
     harness.warm_up(20).request(1, TOP_UP, 1, 0.1);
     let first = harness.last_endpoint();
     harness.after_ms(50).finish(1, 0, first, AttemptOutcome::ErrorAnswer);
     let second = harness.last_endpoint();
-    harness.note("-- later than the window the next error ends it");
+    harness.note("-- after the window, the next error is final");
     harness.after_ms(1100).finish(1, 1, second, AttemptOutcome::ErrorAnswer);
     check(
         &harness,
         expect![[r#"
             request 1 of class 1 arrives | send request 1 to 2
             attempt 0 of request 1 at 2: ErrorAnswer | log: endpoint 2 ejected for 162 ms: an error | send request 1 to 4
-            -- later than the window the next error ends it
+            -- after the window, the next error is final
             attempt 1 of request 1 at 4: ErrorAnswer | log: endpoint 4 ejected for 225 ms: an error | fail request 1
         "#]],
     );
 }
 
-/// Prevents an effect done twice by an endpoint that has another's name: one that was replaced may stand in
-/// another zone, and what ran before ran in the old one's.
+/// Guards against a repeated effect at an endpoint that took over another's name. The replacement may be in
+/// another zone, while the earlier attempt ran in the old one.
 #[test]
-fn a_retry_goes_by_the_zone_of_its_first_attempt_and_by_where_endpoints_are_now() {
+fn retry_compares_original_zone_with_current_endpoint_zone() {
     let mut harness = Harness::new(settings(), &one_kind(&[1, 2, 3, 4]));
     let moved = |endpoint, zone| EndpointUpdate { zone: ZoneId(zone), ..ready_update(endpoint, 0) };
     harness.warm_up(20).request(1, TOP_UP, 1, 0.1).request(2, TOP_UP, 1, 0.1);
-    harness.note("-- 4 is replaced by one in the other zone");
+    harness.note("-- endpoint 4 is replaced by an instance in the other zone");
     harness.balancer.on_endpoint_updates(harness.now, &[moved(4, 1)]);
     harness.finish(1, 0, 2, AttemptOutcome::ErrorAnswer);
-    harness.note("-- so is 1, and 3, where request 2 may have run");
+    harness.note("-- so are 1 and 3; request 2 may have run at 3");
     harness.balancer.on_endpoint_updates(harness.now, &[moved(1, 0), moved(3, 0)]);
     harness.finish(2, 0, 3, AttemptOutcome::ConnectionReset);
     check(
@@ -64,16 +64,16 @@
         expect![[r#"
             request 1 of class 1 arrives | send request 1 to 2
             request 2 of class 1 arrives | send request 2 to 3
-            -- 4 is replaced by one in the other zone
+            -- endpoint 4 is replaced by an instance in the other zone
             attempt 0 of request 1 at 2: ErrorAnswer | log: endpoint 2 ejected for 163 ms: an error | fail request 1
-            -- so is 1, and 3, where request 2 may have run
+            -- so are 1 and 3; request 2 may have run at 3
             attempt 0 of request 2 at 3: ConnectionReset | send request 2 to 4
         "#]],
     );
 }
 
 #[test]
-fn a_rejection_proves_that_a_non_idempotent_attempt_never_ran() {
+fn rejected_non_idempotent_attempt_is_retried() {
     let mut harness = Harness::new(settings(), &one_kind(&[1, 2]));
     harness.warm_up(20).request(1, ORDER, 1, 0.1);
     let full = harness.last_endpoint();
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn an_idempotent_request_gets_two_retries_and_no_more() {
+fn idempotent_request_is_retried_at_most_twice() {
     let mut harness = Harness::new(settings(), &one_kind(&[1, 2, 3, 4, 5]));
     harness.warm_up(20).request(1, READ, 1, 0.1);
     for attempt in 0..3 {
--- a/tests/decisions/routing.rs
+++ b/tests/decisions/routing.rs
@@ -6,20 +6,20 @@
 use expect_test::expect;
 
 #[test]
-fn requests_go_by_cost_and_key_slot_and_spill_to_the_default_pool() {
+fn requests_are_routed_by_cost_and_key_with_fallback_pools() {
     let mut harness = Harness::new(settings(), &four_kinds());
     for request in 0..64 {
         let cost = if request % 2 == 0 { 0.02 } else { 0.2 };
         harness.request(request, READ, 5, cost).answered(request, 100);
     }
-    harness.note("-- small: small pool; then by slot; keyless: default");
+    harness.note("-- a small request, then requests by key slot, then one without a key");
     harness
         .request(100, READ, 1, 0.02)
         .request(101, READ, 1, 0.2)
         .request(102, READ, 2, 0.2)
         .request(103, READ, 3, 0.2);
     harness.request(104, READ, 4, 0.2).arrive(105, READ, None, Some(0.2), 1.5);
-    harness.note("-- the small pool is gone, then default too");
+    harness.note("-- the small pool is removed, then the default pool drains");
     for endpoint in [20, 21, 22] {
         let update = with_status(EndpointStatus::Removed, ready_update(endpoint, 1));
         harness.balancer.on_endpoint_updates(harness.now, &[update]);
@@ -32,16 +32,16 @@
     harness.request(107, READ, 1, 0.02);
     check_after(
         &harness,
-        "-- small",
+        "-- a small",
         expect![[r#"
-            : small pool; then by slot; keyless: default
+            -- a small request, then requests by key slot, then one without a key
             request 100 of class 0 arrives | send request 100 to 21
             request 101 of class 0 arrives | send request 101 to 11
             request 102 of class 0 arrives | send request 102 to 12
             request 103 of class 0 arrives | send request 103 to 30
             request 104 of class 0 arrives | send request 104 to 13
             request 105 of class 0 arrives | send request 105 to 11
-            -- the small pool is gone, then default too
+            -- the small pool is removed, then the default pool drains
             request 106 of class 0 arrives | send request 106 to 13
             request 107 of class 0 arrives | send request 107 to 40
         "#]],
@@ -57,13 +57,13 @@
         let ms = if (20..30).contains(&endpoint) { 50 } else { 200 };
         harness.after_ms(ms).finish_after(request, 0, endpoint, AttemptOutcome::Succeeded, ms);
     }
-    harness.note("-- by its own group's pace it would take most of its time");
+    harness.note("-- in its home pool the request would need most of its time");
     harness.request(1000, ORDER, 1, 0.06).request(1001, ORDER, 1, 0.1).request(1002, ORDER, 1, 0.4);
     check_after(
         &harness,
-        "-- by",
+        "-- in its home pool",
         expect![[r#"
-             its own group's pace it would take most of its time
+            -- in its home pool the request would need most of its time
             request 1000 of class 2 arrives | send request 1000 to 11
             request 1001 of class 2 arrives | send request 1001 to 21
             request 1002 of class 2 arrives | send request 1002 to 20
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn the_small_pool_is_used_from_the_first_cost_estimates_on() {
+fn small_pool_is_used_after_the_first_cost_estimates() {
     let mut harness = Harness::new(settings(), &four_kinds());
     harness
         .request(1, READ, 1, 0.02)
--- a/tests/decisions/selection.rs
+++ b/tests/decisions/selection.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn hundreds_of_balancers_use_a_few_endpoints_each_and_all_of_them_evenly() {
+fn many_balancers_spread_their_subsets_evenly() {
     let endpoints: Vec<u32> = (1..25).collect();
     let mut users = [0; 25];
     for balancer_index in 0..240 {
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn the_own_zone_comes_first_as_long_as_it_has_room() {
+fn own_zone_is_preferred_while_it_has_capacity() {
     let mut harness = Harness::new(without_probes(), &four_kinds());
     for request in 0..24 {
         harness.request(request, READ, u64::from(request), 0.1);
--- a/tests/learned_state.rs
+++ b/tests/learned_state.rs
@@ -1,5 +1,5 @@
-//! The text in which a process leaves what it has learned to the next process of the same balancer. The next
-//! one may be of another build, so the lines keep their form.
+//! The learned-state snapshot that a process leaves to the next process of the same balancer. That process
+//! may run another build, so the format must not change.
 
 mod common;
 
@@ -12,19 +12,19 @@
     Harness::new(settings(), &[ready_update(7, 3), ready_update(8, 1)])
 }
 
-fn written(harness: &mut Harness) -> String {
+fn write_snapshot(harness: &mut Harness) -> String {
     snapshot::write(harness.now, &harness.balancer.learned_state())
 }
 
 #[test]
-fn the_text_keeps_its_form_and_is_read_back() {
+fn snapshot_format_is_stable_and_can_be_restored() {
     let mut harness = two_endpoints();
     for request in 0..4 {
         let cost_estimate = 0.1 * f64::from(request + 1);
         let key = KeyHash(u64::from(request) + 1);
         harness.arrive(request, READ, Some(key), Some(cost_estimate), 1.5).answered(request, 100);
     }
-    let text = written(&mut harness);
+    let text = write_snapshot(&mut harness);
     expect![[r#"
         hint 0.1
         hint 0.2
@@ -49,7 +49,7 @@
 
     let mut next = two_endpoints();
     next.now = harness.now;
-    // A short run has no such line of its own.
+    // A short run writes no line of this kind.
     snapshot::read(&format!("{text}floor 3 1.5\n"), harness.now, &mut next.balancer.learned_state());
     expect![[r#"
         hint 0.1
@@ -72,5 +72,5 @@
         answered 8 1003000 0.30000000000000004
         answered 8 1004000 0.4
     "#]]
-    .assert_eq(&written(&mut next));
+    .assert_eq(&write_snapshot(&mut next));
 }
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -1,6 +1,6 @@
-//! Cold endpoints before fleets of 1 to 300 balancers, in virtual time: what all of them together send to
-//! each, held against what the settings allow it. The balancers are the real decisions; endpoints have cores
-//! and a queue, and nothing else.
+//! Warming endpoints behind fleets of 1 to 300 balancers, in virtual time: what all balancers together send
+//! to each endpoint, compared with what the settings allow. The balancers make the real decisions; the
+//! endpoints are modelled as cores with a queue.
 
 mod common;
 
@@ -18,24 +18,24 @@
 const SERVERS: u32 = 10;
 const CORES: usize = 4;
 const MEAN_WORK: f64 = 0.05;
-const LEFT: f64 = 1.5;
+const TIMEOUT_SECS: f64 = 1.5;
 
 enum Action {
     Start(RequestId, EndpointId),
     SetTimer(Timestamp, TimerId),
 }
 
-/// What one balancer has asked for and was not given yet.
+/// Actions of one balancer that have not been performed.
 #[derive(Clone, Default)]
-struct Asked(Arc<Mutex<Vec<Action>>>);
+struct PendingActions(Arc<Mutex<Vec<Action>>>);
 
-impl Asked {
-    fn put(&self, act: Action) {
-        self.0.lock().expect("one thread to a test").push(act);
+impl PendingActions {
+    fn put(&self, action: Action) {
+        self.0.lock().expect("each test uses one thread").push(action);
     }
 }
 
-impl Effects for Asked {
+impl Effects for PendingActions {
     fn start_attempt(&mut self, request: RequestId, endpoint: EndpointId) {
         self.put(Action::Start(request, endpoint));
     }
@@ -67,30 +67,30 @@
 
 struct Fleet {
     settings: Settings,
-    balancers: Vec<(Balancer<Asked>, Asked)>,
+    balancers: Vec<(Balancer<PendingActions>, PendingActions)>,
     events: BinaryHeap<Reverse<(Timestamp, u64, Event)>>,
     event_count: u64,
     rng: Pcg,
-    /// When each core of an endpoint is free.
+    /// The time at which each core of an endpoint becomes free.
     free_at: BTreeMap<u32, [Timestamp; CORES]>,
     warming_since: BTreeMap<u32, Timestamp>,
-    /// Work and attempts of each request.
+    /// The work, the number of attempts and the deadline of each request.
     requests: BTreeMap<u32, (f64, u16, Timestamp)>,
     sent_to_warming: BTreeMap<u32, Vec<(Timestamp, f64)>>,
     attempt_count: usize,
 }
 
 impl Fleet {
-    /// This many balancers, each configured with this count of them.
+    /// Creates `balancers` balancers that are each configured with a count of `configured`.
     fn new(balancers: u32, configured: u32) -> Fleet {
         let settings = Settings { balancer_count: configured, ..settings() };
         let updates: Vec<EndpointUpdate> = (1..=SERVERS).map(|id| ready_update(id, 0)).collect();
         let start = |balancer_index: u32| {
-            let asked = Asked::default();
+            let pending = PendingActions::default();
             let settings = Settings { balancer_index, ..settings.clone() };
-            let mut balancer = Balancer::new(u64::from(balancer_index) * 7919 + 1, settings, asked.clone());
+            let mut balancer = Balancer::new(u64::from(balancer_index) * 7919 + 1, settings, pending.clone());
             balancer.on_endpoint_snapshot(Timestamp(0), &updates);
-            (balancer, asked)
+            (balancer, pending)
         };
         Fleet {
             balancers: (0..balancers).map(start).collect(),
@@ -106,12 +106,12 @@
         }
     }
 
-    fn at(&mut self, at: Timestamp, event: Event) {
+    fn schedule(&mut self, at: Timestamp, event: Event) {
         self.event_count += 1;
         self.events.push(Reverse((at, self.event_count, event)));
     }
 
-    /// These endpoints restart, and every balancer is notified at once.
+    /// Restarts these endpoints and notifies every balancer immediately.
     fn restart(&mut self, now: Timestamp, ids: std::ops::RangeInclusive<u32>) {
         for id in ids.clone() {
             self.warming_since.insert(id, now);
@@ -121,65 +121,66 @@
             ids.map(|id| EndpointUpdate { started_at: Some(now), ..ready_update(id, 0) }).collect();
         for number in 0..self.balancers.len() {
             self.balancers[number].0.on_endpoint_updates(now, &updates);
-            self.carry_out(now, number);
+            self.perform_actions(now, number);
         }
     }
 
-    fn share(&self, now: Timestamp, id: u32) -> f64 {
+    fn capacity_fraction(&self, now: Timestamp, id: u32) -> f64 {
         self.settings.slow_start.capacity_fraction(now, self.warming_since.get(&id).copied())
     }
 
-    fn carry_out(&mut self, now: Timestamp, balancer: usize) {
-        let acts = std::mem::take(&mut *self.balancers[balancer].1.0.lock().expect("one thread to a test"));
-        for act in acts {
-            match act {
-                Action::SetTimer(at, timer) => self.at(at.max(now), Event::TimerFires(balancer, timer)),
-                Action::Start(request, endpoint) => self.begin_attempt(now, balancer, request.0, endpoint.0),
+    fn perform_actions(&mut self, now: Timestamp, balancer: usize) {
+        let actions =
+            std::mem::take(&mut *self.balancers[balancer].1.0.lock().expect("each test uses one thread"));
+        for action in actions {
+            match action {
+                Action::SetTimer(at, timer) => self.schedule(at.max(now), Event::TimerFires(balancer, timer)),
+                Action::Start(request, endpoint) => self.send_attempt(now, balancer, request.0, endpoint.0),
             }
         }
     }
 
-    fn begin_attempt(&mut self, now: Timestamp, balancer: usize, request: u32, endpoint: u32) {
-        let share = self.share(now, endpoint);
-        let (work, attempts, deadline) = self.requests.get_mut(&request).expect("a request that came");
+    fn send_attempt(&mut self, now: Timestamp, balancer: usize, request: u32, endpoint: u32) {
+        let fraction = self.capacity_fraction(now, endpoint);
+        let (work, attempts, deadline) = self.requests.get_mut(&request).expect("a request that has arrived");
         let (work, attempt, deadline) = (*work, *attempts, *deadline);
-        self.requests.get_mut(&request).expect("the same").1 += 1;
+        self.requests.get_mut(&request).expect("the same request").1 += 1;
         self.attempt_count += 1;
-        if share < 1.0 {
+        if fraction < 1.0 {
             self.sent_to_warming.entry(endpoint).or_default().push((now, work));
         }
         let cores = self.free_at.get_mut(&endpoint).expect("an endpoint");
         let core = cores.iter_mut().min().expect("a core");
-        *core = (*core).max(now) + Ticks::from_secs_f64(work / share);
+        *core = (*core).max(now) + Ticks::from_secs_f64(work / fraction);
         let (done, is_late) = (*core, *core > deadline);
         let began = now;
         let ends = Event::AttemptFinishes { balancer, request, attempt, endpoint, began, is_late };
-        self.at(done.min(deadline), ends);
+        self.schedule(done.min(deadline), ends);
     }
 
-    fn arrives(&mut self, now: Timestamp, request: u32) {
-        // Works of an exponential kind, as heavy at most as ten usual ones; hints are right.
+    fn handle_arrival(&mut self, now: Timestamp, request: u32) {
+        // Work is exponentially distributed, up to ten times the mean. Cost estimates are exact.
         let work = (-MEAN_WORK * (1.0 - self.rng.next_f64()).ln()).min(10.0 * MEAN_WORK);
         let balancer =
             ((self.rng.next_f64() * self.balancers.len() as f64) as usize).min(self.balancers.len() - 1);
-        self.requests.insert(request, (work, 0, now + Ticks::from_secs_f64(LEFT)));
+        self.requests.insert(request, (work, 0, now + Ticks::from_secs_f64(TIMEOUT_SECS)));
         let arrival = IncomingRequest {
             request: RequestId(request),
             key: Some(KeyHash(u64::from(request))),
             tenant: TenantId(0),
             class: ClassId(READ),
-            timeout: Ticks::from_secs_f64(LEFT),
+            timeout: Ticks::from_secs_f64(TIMEOUT_SECS),
             cost_estimate: Some(work),
         };
         self.balancers[balancer].0.on_request(now, arrival);
-        self.carry_out(now, balancer);
+        self.perform_actions(now, balancer);
     }
 
-    /// Plays until then; so much of the fleet's capacity is asked for.
-    fn play(&mut self, from: f64, until: f64, load: f64) {
-        let each_second = f64::from(SERVERS) * CORES as f64 * load / MEAN_WORK;
+    /// Runs the fleet until the given time, with requests for this fraction of its capacity.
+    fn run(&mut self, from: f64, until: f64, load: f64) {
+        let requests_per_second = f64::from(SERVERS) * CORES as f64 * load / MEAN_WORK;
         let until = Timestamp::from_secs_f64(until);
-        self.at(Timestamp::from_secs_f64(from), Event::RequestArrives);
+        self.schedule(Timestamp::from_secs_f64(from), Event::RequestArrives);
         while let Some(Reverse((now, number, event))) = self.events.pop() {
             if now >= until {
                 self.events.push(Reverse((now, number, event)));
@@ -187,13 +188,13 @@
             }
             match event {
                 Event::RequestArrives => {
-                    let gap = -(1.0 - self.rng.next_f64()).ln() / each_second;
-                    self.at(now + Ticks::from_secs_f64(gap).max(Ticks(1)), Event::RequestArrives);
-                    self.arrives(now, number as u32);
+                    let gap = -(1.0 - self.rng.next_f64()).ln() / requests_per_second;
+                    self.schedule(now + Ticks::from_secs_f64(gap).max(Ticks(1)), Event::RequestArrives);
+                    self.handle_arrival(now, number as u32);
                 }
                 Event::TimerFires(balancer, timer) => {
                     self.balancers[balancer].0.on_timer(now, timer);
-                    self.carry_out(now, balancer);
+                    self.perform_actions(now, balancer);
                 }
                 Event::AttemptFinishes { balancer, request, attempt, endpoint, began, is_late } => {
                     let outcome = if is_late { AttemptOutcome::TimedOut } else { AttemptOutcome::Succeeded };
@@ -208,63 +209,65 @@
                         duration: now - began,
                     };
                     self.balancers[balancer].0.on_attempt_finished(now, end);
-                    self.carry_out(now, balancer);
+                    self.perform_actions(now, balancer);
                 }
             }
         }
-        // What would have come next comes at its own time in the next part.
+        // The arrival after the end is dropped; the next part of the run schedules its own.
         self.events.retain(|Reverse((.., event))| *event != Event::RequestArrives);
     }
 
-    /// The most that any warming endpoint got in a window, as a part of what the operators put down to the
-    /// settings and to chance: N requests of mean work, and 2 roots of N and 2 more.
-    fn fullest(&self) -> f64 {
+    /// Returns the most work that any warming endpoint got in a window, relative to what is allowed: N requests
+    /// of mean work by the settings, and 2 * sqrt(N) + 2 more for random variation.
+    fn peak_ratio(&self) -> f64 {
         let warming = &self.settings.slow_start;
-        let mut fullest: f64 = 0.0;
+        let mut peak_ratio: f64 = 0.0;
         for (id, sent) in &self.sent_to_warming {
             for (place, &(now, _)) in sent.iter().enumerate() {
                 let window =
                     sent[..=place].iter().rev().take_while(|(at, _)| now - *at < warming.overload_window);
-                let got = window.map(|(_, work)| work).sum::<f64>() / MEAN_WORK;
-                let able =
-                    self.share(now, *id) * CORES as f64 * warming.overload_window.as_secs_f64() / MEAN_WORK;
-                let allowed = warming.overload_factor * able;
-                fullest = fullest.max(got / (allowed + 2.0 * allowed.sqrt() + 2.0));
+                let received = window.map(|(_, work)| work).sum::<f64>() / MEAN_WORK;
+                let finishable =
+                    self.capacity_fraction(now, *id) * CORES as f64 * warming.overload_window.as_secs_f64()
+                        / MEAN_WORK;
+                let allowed = warming.overload_factor * finishable;
+                peak_ratio = peak_ratio.max(received / (allowed + 2.0 * allowed.sqrt() + 2.0));
             }
         }
-        fullest
+        peak_ratio
     }
 }
 
-/// Prevents parts that each balancer rounds up for itself: together they would attempt a warming endpoint
-/// over. A release, the return of half of the fleet, and the same under a burst.
+/// Guards against balancers that each round up their share and together overload a warming endpoint. Covers a
+/// release, a restart of half of the fleet, and both during a burst.
 #[test]
-fn cold_servers_get_no_more_than_they_may_from_1_to_300_balancers() {
+fn warming_endpoints_stay_within_limits_for_any_fleet_size() {
     for balancers in [1, 5, 30, 300] {
         for (restarted, load, burst) in [(2, 0.6, 0.6), (5, 0.45, 0.45), (2, 0.6, 0.9), (5, 0.45, 0.7)] {
             let mut fleet = Fleet::new(balancers, balancers);
-            fleet.play(0.0, 8.0, load);
+            fleet.run(0.0, 8.0, load);
             fleet.restart(Timestamp::from_secs_f64(8.0), 1..=restarted);
-            fleet.play(8.0, 20.0, burst);
-            let (fullest, sent) =
-                (fleet.fullest(), fleet.sent_to_warming.values().map(Vec::len).sum::<usize>());
+            fleet.run(8.0, 20.0, burst);
+            let (peak_ratio, sent) =
+                (fleet.peak_ratio(), fleet.sent_to_warming.values().map(Vec::len).sum::<usize>());
             assert!(
-                fullest <= 1.0,
-                "{balancers} balancers, {restarted} warming at load {burst}: {fullest:.2}"
+                peak_ratio <= 1.0,
+                "{balancers} balancers, {restarted} warming at load {burst}: {peak_ratio:.2}"
             );
-            // Nobody would fall who gets nothing: they are put to use as they warm.
+            // A warming endpoint that gets nothing would pass the check above, but it has to be used.
             assert!(sent > 50, "{balancers} balancers, {restarted} warming at load {burst}: {sent} in 12 s");
         }
     }
 }
 
-/// The check can fail: three hundred that were each told of three attempt warming endpoints over.
+/// Shows that the check can fail: 300 balancers that are each configured for three overload warming
+/// endpoints.
 #[test]
-fn a_fleet_of_more_than_the_settings_say_is_found() {
+fn undercounted_fleet_exceeds_the_slow_start_limit() {
     let mut fleet = Fleet::new(300, 3);
-    fleet.play(0.0, 8.0, 0.6);
+    fleet.run(0.0, 8.0, 0.6);
     fleet.restart(Timestamp::from_secs_f64(8.0), 1..=2);
-    fleet.play(8.0, 20.0, 0.9);
-    let fullest = fleet.fullest();
-    assert!(fullest > 1.0, "{fullest:.2}");
+    fleet.run(8.0, 20.0, 0.9);
+    let peak_ratio = fleet.peak_ratio();
+    assert!(peak_ratio > 1.0, "{peak_ratio:.2}");
 }
--- a/tests/stored_snapshot.rs
+++ b/tests/stored_snapshot.rs
@@ -1,5 +1,5 @@
-//! What a balancer under load has learned, as its process left it, is restored whole and written again byte by byte. That a
-//! process restores the file, with its first line, is tested in `crates/cli/tests/stored_snapshot.rs`.
+//! The learned-state snapshot of a balancer under load is restored completely and written again byte by byte.
+//! That a process restores the file with its header line is tested in `crates/cli/tests/stored_snapshot.rs`.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use doorproxy::rng::hash_text;
 
 const STORED: &str = include_str!("../testdata/doorproxy-n0.process-learned");
-/// In the order of `testdata/balancer.json`, with the place of their kind there.
+/// In the order of `testdata/balancer.json`, with the index of their kind there.
 const ENDPOINTS: [(&str, u16); 4] = [("s-1", 0), ("s-2", 0), ("s-3", 0), ("s-4", 1)];
 
 struct NoEffects;
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_stored_snapshot_is_read_and_written_as_it_was() {
+fn stored_snapshot_is_restored_and_written_unchanged() {
     let (head, learned) = STORED.split_once('\n').unwrap();
     let written_at = Timestamp(head.rsplit_once(' ').unwrap().1.parse().unwrap());
     let dispatcher = Dispatcher::new(written_at, 7, settings(), Box::new(NoEffects));
