--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -54,13 +54,13 @@
     /// Inserts the request by descending weight, then by the time of its latency objective.
     fn insert_in_order(&mut self, id: RequestId) {
         let new = self.request(id);
-        let goes_before = |waiting: &RequestId| {
+        let precedes = |waiting: &RequestId| {
             let waiting = self.request(*waiting);
             let by_weight = waiting.priority_weight.total_cmp(&new.priority_weight).reverse();
             by_weight.then(waiting.objective_at.cmp(&new.objective_at)).is_le()
         };
-        let place = self.queue.partition_point(goes_before);
-        self.queue.insert(place, id);
+        let position = self.queue.partition_point(precedes);
+        self.queue.insert(position, id);
     }
 
     /// Finishes requests at the end of the queue that would be served too late.
@@ -116,16 +116,16 @@
     /// Places waiting requests in order. A request that fits no free capacity, for example because only
     /// warming endpoints have any, does not block the requests behind it.
     pub(super) fn serve_queue(&mut self, now: Timestamp) {
-        let mut place = 0;
+        let mut position = 0;
         let mut skipped = 0;
         while skipped < MAX_SKIPPED {
-            let Some(&next) = self.queue.get(place) else { return };
+            let Some(&next) = self.queue.get(position) else { return };
             let is_deferred = self.request(next).load_probes.retry_at > now;
             if !is_deferred && self.try_place(now, next) {
-                self.queue.remove(place);
+                self.queue.remove(position);
                 continue;
             }
-            place += 1;
+            position += 1;
             skipped += usize::from(!is_deferred);
         }
     }
