--- a/src/snapshot.rs
+++ b/src/snapshot.rs
@@ -1,8 +1,9 @@
-//! What a balancer has learned, as a text from which the next process of the same balancer goes on.
+//! Writes and reads the learned-state snapshot, a text from which the next process of the same balancer
+//! continues.
 //!
-//! One line a fact: a word that says what it is, and its values. The words are stored data. A snapshot holds
-//! nothing that binds for longer than it is true; what cannot be read, or does not belong to the settings and
-//! endpoints of this process, is skipped.
+//! Each line is a keyword and its values. The keywords are part of the stored format. A snapshot holds
+//! nothing that stays binding after it has become untrue. Lines that cannot be read, or that do not match the
+//! settings and endpoints of this process, are skipped.
 
 use std::fmt::Write as _;
 use std::str::FromStr;
@@ -13,13 +14,13 @@
 use crate::route_table::{PoolIndex, RouteTable};
 use crate::statistics::{RoundMedian, Sample};
 
-/// Older work says nothing of what an endpoint may be sent.
+/// Older work is irrelevant to how much an endpoint may be sent.
 const WORK_RETENTION: Ticks = Ticks(40_000);
-/// More lines than are ever written, so that a foreign file is not read for ever.
+/// More lines than are ever written. The limit stops the reading of a file that is not a snapshot.
 const MAX_LINES: usize = 50_000;
 
-/// The first word of each kind of line.
-mod words {
+/// The keywords that start a line.
+mod keywords {
     pub const COST_ESTIMATE: &str = "hint";
     pub const ROUND_MEDIAN: &str = "floor";
     pub const SAMPLE: &str = "sample";
@@ -28,7 +29,7 @@
     pub const ANSWERED: &str = "answered";
 }
 
-/// Writes down what was learned.
+/// Writes the learned state.
 pub fn write(now: Timestamp, learned: &LearnedState) -> String {
     let mut text = String::new();
     let mut line = |values: std::fmt::Arguments| {
@@ -36,10 +37,10 @@
     };
     let kind = |pool: PoolIndex| learned.routes.kinds.get(pool).map_or(u16::MAX, |kind| kind.0);
     for estimate in learned.statistics.cost_estimates.iter() {
-        line(format_args!("{} {estimate}", words::COST_ESTIMATE));
+        line(format_args!("{} {estimate}", keywords::COST_ESTIMATE));
     }
     for RoundMedian { pool, service_time } in learned.statistics.rounds.iter() {
-        line(format_args!("{} {} {service_time}", words::ROUND_MEDIAN, kind(*pool)));
+        line(format_args!("{} {} {service_time}", keywords::ROUND_MEDIAN, kind(*pool)));
     }
     for sample in
         learned.statistics.samples.iter().filter(|sample| learned.endpoints.contains(sample.endpoint))
@@ -48,18 +49,18 @@
         let (id, kind) = (learned.endpoints[*endpoint].id.0, kind(*pool));
         line(format_args!(
             "{} {} {id} {kind} {} {service_time} {expected_secs}",
-            words::SAMPLE,
+            keywords::SAMPLE,
             at.0,
             duration.0
         ));
     }
     for (pool, sustained) in learned.sustained_work.by_pool.iter().enumerate() {
         if let Some(sustained) = sustained {
-            line(format_args!("{} {} {sustained}", words::SUSTAINED_WORK, kind(pool)));
+            line(format_args!("{} {} {sustained}", keywords::SUSTAINED_WORK, kind(pool)));
         }
     }
     for (_, endpoint) in learned.endpoints.ready() {
-        for (word, log) in [(words::SENT, &endpoint.sent), (words::ANSWERED, &endpoint.answered)] {
+        for (word, log) in [(keywords::SENT, &endpoint.sent), (keywords::ANSWERED, &endpoint.answered)] {
             for (at, work) in log.since(now - WORK_RETENTION) {
                 line(format_args!("{word} {} {} {work}", endpoint.id.0, at.0));
             }
@@ -68,7 +69,7 @@
     text
 }
 
-/// Takes over what a text holds.
+/// Restores the learned state from a text.
 pub fn read(text: &str, now: Timestamp, learned: &mut LearnedState) {
     for line in text.lines().take(MAX_LINES) {
         let _ = read_line(&Fields::new(line), now, learned);
@@ -78,31 +79,31 @@
     }
 }
 
-/// `None` where the line cannot be read, or does not belong here.
+/// Reads one line. Returns `None` if the line cannot be read or does not match this process.
 fn read_line(fields: &Fields, now: Timestamp, learned: &mut LearnedState) -> Option<()> {
     let LearnedState { routes, statistics, sustained_work, endpoints } = learned;
-    match fields.word() {
-        words::COST_ESTIMATE => {
+    match fields.keyword() {
+        keywords::COST_ESTIMATE => {
             statistics.cost_estimates.record(fields.amount(1)?, routes.small_pool_ratio);
         }
-        words::ROUND_MEDIAN => {
+        keywords::ROUND_MEDIAN => {
             let (pool, service_time) = (fields.pool(1, routes)?, fields.amount(2)?);
             statistics.rounds.put(RoundMedian { pool, service_time });
         }
-        words::SUSTAINED_WORK => {
+        keywords::SUSTAINED_WORK => {
             let (pool, sustained) = (fields.pool(1, routes)?, fields.amount(2)?);
             sustained_work.by_pool.resize(routes.pool_count(), None);
             sustained_work.by_pool[pool] = Some(sustained);
         }
-        words::SAMPLE => {
+        keywords::SAMPLE => {
             let sample = read_sample(fields, now, routes, endpoints)?;
             statistics.samples.put(sample);
             statistics.answer_count += 1;
         }
-        word @ (words::SENT | words::ANSWERED) => {
+        word @ (keywords::SENT | keywords::ANSWERED) => {
             let index = endpoints.ready_index_of(EndpointId(fields.value(1)?))?;
             let endpoint = &mut endpoints[index];
-            let log = if word == words::SENT { &mut endpoint.sent } else { &mut endpoint.answered };
+            let log = if word == keywords::SENT { &mut endpoint.sent } else { &mut endpoint.answered };
             log.put(fields.past(2, now)?, WORK_RETENTION, fields.amount(3)?);
         }
         _ => {}
@@ -126,7 +127,7 @@
     })
 }
 
-/// The values of one line.
+/// The keyword and values of one line.
 struct Fields<'a>(Vec<&'a str>);
 
 impl<'a> Fields<'a> {
@@ -134,7 +135,7 @@
         Fields(line.split(' ').collect())
     }
 
-    fn word(&self) -> &'a str {
+    fn keyword(&self) -> &'a str {
         self.0[0]
     }
 
@@ -146,7 +147,7 @@
         self.value::<f64>(place).filter(|amount| amount.is_finite() && *amount >= 0.0)
     }
 
-    /// A time that is not in the future: what comes from there would never grow old.
+    /// Returns a time that is not in the future. An entry from the future would never expire.
     fn past(&self, place: usize, now: Timestamp) -> Option<Timestamp> {
         self.value(place).map(Timestamp).filter(|&at| at <= now)
     }
