--- a/crates/leases/src/acceptor.rs
+++ b/crates/leases/src/acceptor.rs
@@ -1,8 +1,9 @@
-//! The acceptor of the registers: it promises ballots and accepts lease values.
+//! The acceptor, which promises ballots and accepts lease values.
 //!
-//! Invariants: it accepts a value only under the ballot that it promised last since its start; and since it keeps its
-//! registers in memory alone, it answers [`Message::InGracePeriod`] after a start until every lease that it may have forgotten
-//! is over. A lost, restored or unsynced disk therefore has no effect on it.
+//! Invariants: an acceptor accepts a value only under the ballot that it promised last since its start. It
+//! keeps its registers in memory only, so after a start it answers [`Message::InGracePeriod`] until every
+//! lease that it may have forgotten has expired. It uses no disk, so a lost, restored or unsynced disk cannot
+//! affect it.
 
 use std::collections::BTreeMap;
 
@@ -10,29 +11,30 @@
 
 use crate::messages::{AcceptedLease, Ballot, LeaseId, LeaseRules, LeaseValue, Message};
 
-/// Bounds the memory of an acceptor: requests for further leases are rejected.
+/// Limits the memory of an acceptor, which rejects requests for further leases.
 const MAX_LEASES: usize = 4000;
 
-/// A value and when it was accepted, by the acceptor's clock.
+/// Holds a value and the time at which it was accepted, by the acceptor's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AcceptedValue {
-    /// The value that was accepted last.
+    /// Holds the value that was accepted last.
     pub value: LeaseValue,
-    /// When it was accepted.
+    /// Holds the time of acceptance.
     pub accepted_at: Timestamp,
 }
 
-/// The state of one lease at an acceptor.
+/// Holds the state of one lease at an acceptor.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Register {
-    /// The largest ballot that was promised.
+    /// Holds the largest promised ballot.
     pub promised: Ballot,
-    /// The value accepted last, which later promises leave in place.
+    /// Holds the value that was accepted last. Later promises do not change it.
     pub accepted: Option<AcceptedValue>,
 }
 
 impl Register {
-    /// The accepted value with the time for which it may still be held. A released lease has no time left.
+    /// Returns the accepted value and the time for which it may still be held. The time is 0 for a released
+    /// lease.
     pub fn accepted_lease(&self, now: Timestamp, rules: &LeaseRules) -> Option<AcceptedLease> {
         let AcceptedValue { value, accepted_at } = self.accepted?;
         let expires_at = accepted_at + rules.duration_with_drift(Ticks(value.duration_ticks));
@@ -41,7 +43,7 @@
     }
 }
 
-/// The registers of all leases at one node.
+/// Holds the registers of all leases at one node.
 #[derive(Clone, Debug)]
 pub struct Acceptor {
     started_at: Timestamp,
@@ -49,27 +51,27 @@
 }
 
 impl Acceptor {
-    /// An acceptor that starts at `now` and remembers nothing.
+    /// Creates an acceptor that starts at `now` without registers.
     pub fn new(now: Timestamp) -> Acceptor {
         Acceptor { started_at: now, registers: BTreeMap::new() }
     }
 
-    /// All registers in the order of their lease ids.
+    /// Returns all registers, ordered by lease id.
     pub fn registers(&self) -> impl Iterator<Item = (&LeaseId, &Register)> {
         self.registers.iter()
     }
 
-    /// The time since its start.
+    /// Returns the time since the acceptor started.
     pub fn age(&self, now: Timestamp) -> Ticks {
         now - self.started_at
     }
 
-    /// Whether a lease that it accepted before its start may still be held.
+    /// Returns whether a lease that was accepted before the acceptor's start may still be held.
     pub fn is_in_grace_period(&self, now: Timestamp, rules: &LeaseRules) -> bool {
         self.age(now) <= rules.duration_with_drift(rules.max_duration)
     }
 
-    /// Answers a request of a proposer; `None` for a message that is not a request.
+    /// Responds to a proposer's request. Returns `None` for a message that is not a request.
     pub fn respond(&mut self, now: Timestamp, request: &Message, rules: &LeaseRules) -> Option<Message> {
         if !request.is_request() {
             return None;
@@ -89,7 +91,8 @@
                 register.promised = ballot;
                 Some(Message::Promise { lease, ballot, accepted: register.accepted_lease(now, rules) })
             }
-            // Under exactly the last promised ballot nothing was accepted that this proposer does not know of.
+            // The ballot is exactly the last promised one, so this acceptor has accepted nothing since its
+            // promise that the proposer does not know of.
             Message::Accept { value, .. }
                 if ballot == promised && value.duration_ticks <= rules.max_duration.0 =>
             {
--- a/crates/leases/src/lease_client.rs
+++ b/crates/leases/src/lease_client.rs
@@ -1,7 +1,7 @@
-//! When a proposer sends its proposals: renewals well before the lease expires, and attempts of waiting clients when they may
-//! succeed, spread by jitter.
+//! The schedule of a proposer: it renews a lease well before it expires, and while another process holds the
+//! lease, it retries with jitter when an attempt may succeed.
 //!
-//! Invariant: at most one proposal is under way at a time, and after one that failed the next waits for a backoff.
+//! Invariant: at most one proposal is in progress at a time, and a backoff follows each proposal that failed.
 
 use doorproxy::ids::{Ticks, Timestamp};
 use doorproxy::rng::Pcg;
@@ -11,27 +11,27 @@
 use crate::proposer::{HeldLease, LeaseRequest, ProposalOutcome, ProposalStep, Proposer};
 use doorproxy_membership::outgoing::{OutgoingMessage, TickResult};
 
-/// A holder renews its lease this long after it was acquired, as a ratio of the lease's duration.
+/// Sets when a holder renews its lease after it was acquired, as a ratio of the lease's duration.
 const RENEWAL_RATIO: f64 = 0.3;
-/// A proposal that takes longer than this ratio of the lease's duration is abandoned.
+/// Limits the time of a proposal before it is abandoned, as a ratio of the lease's duration.
 const PROPOSAL_TIMEOUT_RATIO: f64 = 0.15;
-/// The shortest backoff after a preempted or abandoned proposal, as a ratio of the lease's duration.
+/// Sets the shortest backoff after a preempted or abandoned proposal, as a ratio of the lease's duration.
 const MIN_BACKOFF_RATIO: f64 = 0.02;
-/// The longest backoff, as a ratio of the lease's duration.
+/// Sets the longest backoff, as a ratio of the lease's duration.
 const MAX_BACKOFF_RATIO: f64 = 0.1;
-/// How often a waiting client polls for a renewal or a release, as a ratio of the lease's duration.
+/// Sets how often a waiting client polls for a renewal or a release, as a ratio of the lease's duration.
 const POLL_RATIO: f64 = 0.25;
-/// The smallest factor of the jitter on a poll.
+/// Sets the smallest jitter factor of a poll interval.
 const POLL_JITTER_MIN: f64 = 0.8;
-/// The width of the jitter on a poll, above its smallest factor.
+/// Sets the width of the jitter above its smallest factor.
 const POLL_JITTER_WIDTH: f64 = 0.4;
 
-/// Messages about leases and their recipients.
+/// Holds lease messages and their recipients.
 pub type Outgoing = Vec<OutgoingMessage<Message>>;
 
 /// Acquires, renews and releases one lease.
 pub struct LeaseClient {
-    /// The state of its proposals and of the lease that it holds.
+    /// Holds the state of the proposals and of the held lease.
     pub proposer: Proposer,
     duration: Ticks,
     request: Option<LeaseRequest>,
@@ -41,7 +41,8 @@
 }
 
 impl LeaseClient {
-    /// A client that requests nothing yet. `seed` is for its jitter; `token_floor` as in [`Proposer::new`].
+    /// Creates a client without a request. `seed` initialises its jitter; see [`Proposer::new`] for
+    /// `token_floor`.
     pub fn new(
         now: Timestamp,
         seed: u64,
@@ -60,12 +61,12 @@
         }
     }
 
-    /// The lease, where it is held at `now`.
+    /// Returns the lease if it is held at `now`.
     pub fn held(&self, now: Timestamp) -> Option<HeldLease> {
         self.proposer.held(now)
     }
 
-    /// Sets what to do about the lease. [`LeaseRequest::Release`] gives up a held lease at once.
+    /// Sets what the client requests. [`LeaseRequest::Release`] stops holding the lease at once.
     pub fn set_request(&mut self, now: Timestamp, request: Option<LeaseRequest>) {
         if request == Some(LeaseRequest::Release) {
             self.proposer.drop_held();
@@ -76,12 +77,12 @@
         }
     }
 
-    /// The current request, `None` once the lease is released.
+    /// Returns the current request, or `None` once the lease is released.
     pub fn request(&self) -> Option<LeaseRequest> {
         self.request
     }
 
-    /// Sends a proposal where one is due, and abandons one that timed out.
+    /// Starts a proposal if one is due, and abandons one that timed out.
     pub fn tick(&mut self, now: Timestamp, rules: &LeaseRules) -> TickResult<Message> {
         let proposal_timeout = self.duration.mul_f64(PROPOSAL_TIMEOUT_RATIO);
         if !self.proposer.is_idle() && now - self.proposal_started_at > proposal_timeout {
@@ -98,12 +99,12 @@
         let prepare = self.proposer.prepare(request);
         self.proposal_started_at = now;
         TickResult {
-            outgoing: addressed_to(rules.acceptors.iter().copied(), prepare),
+            outgoing: messages_to(rules.acceptors.iter().copied(), prepare),
             next_tick_at: now + proposal_timeout,
         }
     }
 
-    /// Handles the response of an acceptor and gives what to send next.
+    /// Handles a response from an acceptor, and returns the messages to send next.
     pub fn on_response(
         &mut self,
         now: Timestamp,
@@ -113,7 +114,7 @@
     ) -> Outgoing {
         match self.proposer.on_response(now, from, response, rules) {
             ProposalStep::Ignored => Vec::new(),
-            ProposalStep::Send { message, to } => addressed_to(to, message),
+            ProposalStep::Send { message, to } => messages_to(to, message),
             ProposalStep::Finished(outcome) => {
                 self.on_outcome(now, outcome);
                 Vec::new()
@@ -130,7 +131,7 @@
             ProposalOutcome::HeldByOther(expires_at) => {
                 let jitter = POLL_JITTER_MIN + POLL_JITTER_WIDTH * self.rng.next_f64();
                 let poll_at = now + self.duration.mul_f64(POLL_RATIO * jitter);
-                // Waiting clients that all propose at the moment of expiry would preempt each other again and again.
+                // Clients that all propose at the moment of expiry would preempt each other repeatedly.
                 self.next_proposal_at =
                     if expires_at < poll_at { self.backoff_until(expires_at) } else { poll_at };
             }
@@ -152,6 +153,6 @@
     }
 }
 
-fn addressed_to(recipients: impl IntoIterator<Item = NodeId>, message: Message) -> Outgoing {
+fn messages_to(recipients: impl IntoIterator<Item = NodeId>, message: Message) -> Outgoing {
     recipients.into_iter().map(|to| OutgoingMessage { to, message }).collect()
 }
--- a/crates/leases/src/messages.rs
+++ b/crates/leases/src/messages.rs
@@ -1,6 +1,6 @@
-//! The messages between proposers and acceptors, and the rules on which a whole fleet has to agree.
+//! The messages between proposers and acceptors, and the rules on which all processes of a fleet must agree.
 //!
-//! The messages travel as postcard: the order of fields and variants is part of the wire format.
+//! Messages are encoded with postcard, so the order of fields and variants is part of the wire format.
 
 use std::collections::BTreeSet;
 
@@ -8,117 +8,122 @@
 use doorproxy_membership::message::{Incarnation, NodeId};
 use serde::{Deserialize, Serialize};
 
-/// A lease, by the hash of its name. Each slot of a permit that several processes may hold is a lease of its own.
+/// Identifies a lease by the hash of its name. Each slot of a permit that several processes may hold is a
+/// separate lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeaseId(pub u64);
 
 impl LeaseId {
-    /// The same for a name and slot on every node.
+    /// Derives the id, which is the same on every node for the same name and slot.
     pub fn from_name(name: &str, slot: u16) -> LeaseId {
         LeaseId(doorproxy::rng::hash_text(name) ^ doorproxy::rng::mix(u64::from(slot)))
     }
 }
 
-/// Grows with every change of the holder and never decreases: a target refuses an action under a token that is smaller than
-/// one that it has seen.
+/// Increases with every change of the holder and never decreases. A target refuses an action whose token is
+/// smaller than the largest one that it has seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FencingToken(pub u64);
 
-/// Orders proposals: by round, then by the proposer's node and incarnation. No two proposals share one.
+/// Orders proposals by round, then by the proposer's node and incarnation. No two proposals have the same
+/// ballot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Counted by the proposer, above every round that it was rejected for.
+    /// Increases with each proposal, and exceeds every round that the proposer was rejected for.
     pub round: u64,
-    /// The proposer's [`NodeId`].
+    /// Holds the proposer's [`NodeId`].
     pub proposer: u64,
-    /// The proposer's [`Incarnation`].
+    /// Holds the proposer's [`Incarnation`].
     pub incarnation: u64,
 }
 
-/// One process of a node.
+/// Identifies one process of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ProcessIdentity {
-    /// The node, by its name.
+    /// Identifies the node.
     pub node: NodeId,
-    /// Which of the node's processes.
+    /// Identifies the process among those that the node has run.
     pub incarnation: Incarnation,
 }
 
-/// The value of a register.
+/// Holds the value of a register.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeaseValue {
-    /// `None` where it was released.
+    /// Holds the current holder, or `None` if the lease was released.
     pub holder: Option<ProcessIdentity>,
-    /// The token under which it is held.
+    /// Holds the fencing token of this holder.
     pub token: FencingToken,
-    /// In tenths of a millisecond, by the holder's clock from before its accept requests.
+    /// Holds the duration in tenths of a millisecond. The holder counts it on its own clock from before it
+    /// sent its accept requests.
     pub duration_ticks: i64,
 }
 
-/// The value that an acceptor accepted last, as it reports it with a promise.
+/// Holds the value that an acceptor accepted last, as reported with a promise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AcceptedLease {
-    /// The accepted value.
+    /// Holds the accepted value.
     pub value: LeaseValue,
-    /// How long it may still be held, in tenths of a millisecond by the acceptor's clock; 0 where it has expired.
+    /// Holds the time for which the lease may still be held, in tenths of a millisecond by the acceptor's
+    /// clock. It is 0 for an expired or released lease.
     pub remaining_ticks: i64,
 }
 
-/// A message between a proposer and an acceptor. The acceptor's response repeats the ballot of the request.
+/// Represents a message between a proposer and an acceptor. A response repeats the ballot of its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
     /// Asks an acceptor to promise a ballot.
     Prepare {
-        /// The lease.
+        /// Identifies the lease.
         lease: LeaseId,
-        /// The ballot to promise.
+        /// Holds the ballot to promise.
         ballot: Ballot,
     },
-    /// The ballot is promised: nothing is accepted under a smaller one from now on.
+    /// Promises a ballot: the acceptor no longer accepts a value under a smaller one.
     Promise {
-        /// The lease.
+        /// Identifies the lease.
         lease: LeaseId,
-        /// The promised ballot.
+        /// Holds the promised ballot.
         ballot: Ballot,
-        /// What was accepted last.
+        /// Holds the value that the acceptor accepted last, if any.
         accepted: Option<AcceptedLease>,
     },
     /// Asks an acceptor to accept a value under a promised ballot.
     Accept {
-        /// The lease.
+        /// Identifies the lease.
         lease: LeaseId,
-        /// The promised ballot.
+        /// Holds the promised ballot.
         ballot: Ballot,
-        /// The value to accept.
+        /// Holds the value to accept.
         value: LeaseValue,
     },
-    /// The value is accepted.
+    /// Confirms that the acceptor accepted the value.
     Accepted {
-        /// The lease.
+        /// Identifies the lease.
         lease: LeaseId,
-        /// The ballot of the value.
+        /// Holds the ballot under which the value was accepted.
         ballot: Ballot,
     },
-    /// The ballot is too small, or is not the one that was promised last.
+    /// Rejects a request: its ballot is too small or is not the one that was promised last, its duration is
+    /// too long, or the acceptor has no room for another lease.
     Rejected {
-        /// The lease.
+        /// Identifies the lease.
         lease: LeaseId,
-        /// The rejected ballot.
+        /// Holds the rejected ballot.
         ballot: Ballot,
-        /// The ballot that was promised last.
+        /// Holds the ballot that was promised last.
         promised: Ballot,
     },
-    /// The acceptor has started recently and promises nothing yet.
+    /// Reports that the acceptor started recently and does not promise anything yet.
     InGracePeriod {
-        /// The lease.
+        /// Identifies the lease.
         lease: LeaseId,
-        /// The ballot of the request.
+        /// Holds the ballot of the request.
         ballot: Ballot,
     },
 }
 
 impl Message {
-    /// The lease that the message is about.
+    /// Returns the lease that the message is about.
     pub fn lease(&self) -> LeaseId {
         match self {
             Message::Prepare { lease, .. }
@@ -130,7 +135,7 @@
         }
     }
 
-    /// The ballot of the request, which its response repeats.
+    /// Returns the ballot of the request. A response repeats it.
     pub fn ballot(&self) -> Ballot {
         match self {
             Message::Prepare { ballot, .. }
@@ -142,39 +147,40 @@
         }
     }
 
-    /// Whether it is for an acceptor.
+    /// Returns whether the message is a request, which only an acceptor handles.
     pub fn is_request(&self) -> bool {
         matches!(self, Message::Prepare { .. } | Message::Accept { .. })
     }
 }
 
-/// One message on the wire.
+/// Holds one message as it is sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The name of the sending node.
+    /// Holds the name of the sending node.
     pub sender: String,
-    /// The message.
+    /// Holds the message.
     pub message: Message,
 }
 
-/// What all proposers and acceptors of a fleet agree on.
+/// Holds the rules on which all proposers and acceptors of a fleet must agree.
 #[derive(Clone, Debug)]
 pub struct LeaseRules {
-    /// The nodes that keep the registers.
+    /// Holds the nodes that store the registers.
     pub acceptors: BTreeSet<NodeId>,
-    /// The longest duration of a lease.
+    /// Limits the duration of a lease.
     pub max_duration: Ticks,
-    /// The largest relative difference between the rates of two clocks.
+    /// Limits the relative difference between the rates of two clocks.
     pub clock_drift_ratio: f64,
 }
 
 impl LeaseRules {
-    /// The smallest number of acceptors of which any two sets share one.
+    /// Returns the smallest number of acceptors that is a majority: any two majorities share at least one
+    /// acceptor.
     pub fn majority(&self) -> usize {
         self.acceptors.len() / 2 + 1
     }
 
-    /// The time after which, by any clock, a lease that was held for `duration` by its holder's clock is over.
+    /// Returns the time after which, by any clock, a lease of `duration` has expired on its holder's clock.
     pub fn duration_with_drift(&self, duration: Ticks) -> Ticks {
         Ticks(duration.mul_f64((1.0 + self.clock_drift_ratio) * (1.0 + self.clock_drift_ratio)).0 + 1)
     }
--- a/crates/leases/src/proposer.rs
+++ b/crates/leases/src/proposer.rs
@@ -1,8 +1,9 @@
-//! The proposer of one lease: it prepares a ballot, and where a majority of acceptors promises it and reports nobody else's
-//! lease, has them accept a value of its own.
+//! The proposer of one lease. It prepares a ballot. If a majority of acceptors promises the ballot and
+//! reports no unexpired lease of another process, it asks them to accept its own value.
 //!
-//! Invariants: a lease counts as held from *before* its accept requests were sent, and never past its duration by the
-//! holder's own clock; no value is proposed to an acceptor that reports another holder's unexpired lease.
+//! Invariants: a lease counts as held from *before* its accept requests were sent, and never longer than its
+//! duration on the holder's clock. No value is proposed to an acceptor that reports another holder's
+//! unexpired lease.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,12 +14,12 @@
     AcceptedLease, Ballot, FencingToken, LeaseId, LeaseRules, LeaseValue, Message, ProcessIdentity,
 };
 
-/// What a proposal is for.
+/// Says what a proposal is to achieve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LeaseRequest {
-    /// Acquire the lease, or renew it.
+    /// Acquires or renews the lease.
     Hold,
-    /// Release the lease before it expires.
+    /// Releases the lease before it expires.
     Release,
 }
 
@@ -29,74 +30,76 @@
     Accepting { ballot: Ballot, value: LeaseValue, requested_at: Timestamp, accepted: BTreeSet<NodeId> },
 }
 
-/// The phase of a proposal with an age in place of its time, by which a model checker tells states apart.
+/// Represents the phase of a proposal with the age of its requests instead of their time, so that a model
+/// checker can compare states.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum AbstractPhase {
-    /// No proposal is under way.
+    /// No proposal is in progress.
     Idle,
     /// Promises are being collected.
     Preparing {
-        /// The ballot of the proposal.
+        /// Holds the ballot of the proposal.
         ballot: Ballot,
-        /// What the proposal is for.
+        /// Says what the proposal is to achieve.
         request: LeaseRequest,
-        /// The promises so far with what each acceptor reported.
+        /// Holds the promises so far, with the lease that each acceptor reported.
         promises: BTreeMap<NodeId, Option<AcceptedLease>>,
     },
     /// Accepts are being collected.
     Accepting {
-        /// The ballot of the proposal.
+        /// Holds the ballot of the proposal.
         ballot: Ballot,
-        /// The proposed value.
+        /// Holds the proposed value.
         value: LeaseValue,
-        /// The time since the accept requests were sent, in tenths of a millisecond.
+        /// Holds the time since the accept requests were sent, in tenths of a millisecond.
         age_ticks: i64,
-        /// The acceptors that have accepted.
+        /// Holds the acceptors that have accepted the value.
         accepted: BTreeSet<NodeId>,
     },
 }
 
-/// A lease that this process holds. A task is done under its token and ends by its expiry.
+/// Describes a lease that this process holds. A task must use its token and must end before it expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HeldLease {
-    /// Sent with each action, so that the target can refuse those of earlier holders.
+    /// Accompanies each action, so that the target can reject the actions of earlier holders.
     pub token: FencingToken,
-    /// By the holder's own clock.
+    /// Holds the expiry by the holder's own clock.
     pub expires_at: Timestamp,
 }
 
-/// A lease of another process, as acceptors reported it last.
+/// Describes the lease of another process, as acceptors reported it last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ObservedLease {
-    /// The value that acceptors reported.
+    /// Holds the reported value.
     pub value: LeaseValue,
-    /// How long it may still be held if it is not renewed.
+    /// Holds the time for which the lease may still be held if it is not renewed.
     pub remaining: Ticks,
 }
 
-/// How a proposal ended.
+/// Says how a proposal ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposalOutcome {
-    /// The lease is held, or was renewed.
+    /// The lease was acquired or renewed.
     Acquired,
     /// The lease was released, or there was nothing to release.
     Released,
-    /// Another process holds the lease, at most until this time if it is not renewed.
+    /// Another process holds the lease, until this time at the latest if it is not renewed.
     HeldByOther(Timestamp),
-    /// An acceptor has promised a larger ballot, or has forgotten the promise.
+    /// An acceptor rejected the proposal: it has promised a larger ballot, or has lost the promise in a
+    /// restart.
     Preempted,
 }
 
-/// What a response leads to.
+/// Says how a proposal continues after a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposalStep {
-    /// Nothing: the response is late, or more of them are needed.
+    /// Nothing is sent: the response is late, or more responses are needed.
     Ignored,
-    /// The next message of the proposal, for these acceptors.
+    /// The proposal continues with a message to these acceptors.
     Send {
-        /// The message.
+        /// Holds the message.
         message: Message,
-        /// The acceptors to send it to.
+        /// Holds the recipients.
         to: BTreeSet<NodeId>,
     },
     /// The proposal has ended.
@@ -104,12 +107,12 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct ObservedUntil {
+struct ObservedExpiry {
     value: LeaseValue,
     expires_at: Timestamp,
 }
 
-/// The proposals for one lease, and the lease while it is held.
+/// Runs the proposals for one lease, and holds the lease once it is acquired.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Proposer {
     local_holder: ProcessIdentity,
@@ -117,18 +120,18 @@
     duration: Ticks,
     round: u64,
     phase: Phase,
-    observed: Option<ObservedUntil>,
+    observed: Option<ObservedExpiry>,
     held: Option<HeldLease>,
-    /// Every new token is larger than this, also where all acceptors have forgotten the last one.
+    /// Bounds new tokens from below, even if all acceptors have lost the last token.
     token_floor: FencingToken,
 }
 
-/// The promises of one ballot, by whether the acceptor reports another holder.
+/// Divides the promises of one ballot by whether the acceptor reports another holder's lease.
 struct PromiseTally {
     free: BTreeSet<NodeId>,
-    /// What the free acceptors accepted last.
+    /// Holds the values that the free acceptors accepted last.
     values: Vec<LeaseValue>,
-    /// What the other acceptors reported.
+    /// Holds the leases of other holders that the remaining acceptors reported.
     blocking: Vec<AcceptedLease>,
 }
 
@@ -153,8 +156,9 @@
 }
 
 impl Proposer {
-    /// A proposer that holds nothing. No token up to `token_floor` is issued: the Unix time in milliseconds at the start of the
-    /// process, which outlives the memory of all acceptors.
+    /// Creates a proposer that holds no lease. All tokens that it issues are larger than `token_floor`: the
+    /// Unix time in milliseconds when the process started, which is known even if all acceptors lose their
+    /// memory.
     pub fn new(
         local_holder: ProcessIdentity,
         lease: LeaseId,
@@ -173,17 +177,17 @@
         }
     }
 
-    /// The lease, where it is held at `now`.
+    /// Returns the lease if it is held at `now`.
     pub fn held(&self, now: Timestamp) -> Option<HeldLease> {
         self.held.filter(|held| now < held.expires_at)
     }
 
-    /// Whether no proposal is under way.
+    /// Returns whether no proposal is in progress.
     pub fn is_idle(&self) -> bool {
         self.phase == Phase::Idle
     }
 
-    /// The lease of another process that prevented the last proposal.
+    /// Returns the lease of another process that blocked the last proposal.
     pub fn observed(&self, now: Timestamp) -> Option<ObservedLease> {
         self.observed.map(|observed| ObservedLease {
             value: observed.value,
@@ -191,7 +195,7 @@
         })
     }
 
-    /// The proposal under way, with an age in place of its time, for a model checker.
+    /// Returns the proposal in progress in a form that a model checker can compare.
     pub fn abstract_phase(&self, now: Timestamp) -> AbstractPhase {
         match self.phase.clone() {
             Phase::Idle => AbstractPhase::Idle,
@@ -204,22 +208,23 @@
         }
     }
 
-    /// The round of the last ballot.
+    /// Returns the round of the last ballot.
     pub fn round(&self) -> u64 {
         self.round
     }
 
-    /// Stops holding the lease. Acceptors learn of it by a proposal with [`LeaseRequest::Release`].
+    /// Stops holding the lease at this process. Acceptors learn this from a proposal with
+    /// [`LeaseRequest::Release`].
     pub fn drop_held(&mut self) {
         self.held = None;
     }
 
-    /// Abandons the proposal under way: later responses to it are ignored.
+    /// Abandons the proposal in progress. Later responses to it are ignored.
     pub fn abandon(&mut self) {
         self.phase = Phase::Idle;
     }
 
-    /// Begins a proposal under a new ballot, and gives the message for all acceptors.
+    /// Begins a proposal under a new ballot, and returns the message for all acceptors.
     pub fn prepare(&mut self, request: LeaseRequest) -> Message {
         if request == LeaseRequest::Release {
             self.drop_held();
@@ -234,7 +239,7 @@
         Message::Prepare { lease: self.lease, ballot }
     }
 
-    /// Handles the response of an acceptor.
+    /// Handles a response from an acceptor.
     pub fn on_response(
         &mut self,
         now: Timestamp,
@@ -291,7 +296,7 @@
         if rules.acceptors.len() - tally.blocking.len() >= rules.majority() {
             return ProposalStep::Ignored;
         }
-        self.wait_for_other(now, request, &tally.blocking, rules)
+        self.finish_blocked_by_other(now, request, &tally.blocking, rules)
     }
 
     fn propose(
@@ -310,8 +315,9 @@
         ProposalStep::Send { message: Message::Accept { lease: self.lease, ballot, value }, to: tally.free }
     }
 
-    /// Ends the proposal until enough acceptors are free for a majority, if no lease is renewed.
-    fn wait_for_other(
+    /// Ends the proposal, because too few acceptors are free for a majority. Records when enough of the
+    /// reported leases expire if they are not renewed.
+    fn finish_blocked_by_other(
         &mut self,
         now: Timestamp,
         request: LeaseRequest,
@@ -322,14 +328,14 @@
         remaining.sort_unstable();
         let expiries_needed = blocking.len() + rules.majority() - rules.acceptors.len();
         let expires_at = now + Ticks(remaining[expiries_needed.min(remaining.len()) - 1] + 1);
-        self.observed = blocking.first().map(|accepted| ObservedUntil { value: accepted.value, expires_at });
+        self.observed = blocking.first().map(|accepted| ObservedExpiry { value: accepted.value, expires_at });
         match request {
             LeaseRequest::Hold => self.finish(ProposalOutcome::HeldByOther(expires_at)),
             LeaseRequest::Release => self.finish(ProposalOutcome::Released),
         }
     }
 
-    /// The value to propose; `None` where there is nothing to release.
+    /// Returns the value to propose, or `None` if there is nothing to release.
     fn next_value(
         &self,
         now: Timestamp,
@@ -345,7 +351,8 @@
             }
             LeaseRequest::Hold => {
                 let new_token = FencingToken(last_token.0.max(self.token_floor.0) + 1);
-                // Kept only while the lease is held without a break: after one, another process may have held it.
+                // The token is kept only if the lease is still held, since another process may have held it
+                // after an interruption.
                 let token = self.held(now).map_or(new_token, |held| held.token);
                 let duration_ticks = self.duration.min(rules.max_duration).0;
                 Some(LeaseValue { holder: Some(self.local_holder), token, duration_ticks })
@@ -367,7 +374,7 @@
         if value.holder.is_none() {
             return self.finish(ProposalOutcome::Released);
         }
-        // Acceptors count the duration from when they accept the value, which is later than this.
+        // Acceptors count the duration from a later time, when they accept the value.
         let expires_at = *requested_at + Ticks(value.duration_ticks);
         self.held = Some(HeldLease { token: value.token, expires_at });
         self.finish(ProposalOutcome::Acquired)
--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -1,6 +1,6 @@
-//! Explores all interleavings of two proposers and three acceptors up to a bounded depth: requests and responses that are
-//! lost or late, proposals that are abandoned, an acceptor that restarts. At most one proposer holds the lease at a time, and
-//! each mutant, which lacks one rule, violates that.
+//! Explores the interleavings of two proposers and three acceptors up to a bounded depth: requests and
+//! responses are lost or late, proposals are abandoned, and an acceptor restarts. At most one proposer may
+//! hold the lease at a time. Each mutant lacks one rule and must violate this invariant.
 
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -17,24 +17,24 @@
 const PROPOSERS: usize = 2;
 const DURATION: Ticks = Ticks(1000);
 const STEP: Ticks = Ticks(600);
-/// Acceptors above this age, in ticks, behave alike.
+/// Caps the ages in an abstract state, in ticks: acceptors above this age behave the same.
 const MAX_AGE: i64 = 2000;
-/// States to explore of each case, where the environment does not say otherwise.
+/// Limits the states explored in each case, unless the environment sets another limit.
 const DEFAULT_MAX_STATES: usize = 20_000;
 
-/// Which rule is left out.
+/// Says which rule is left out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mutant {
     None,
-    /// An acceptor takes an accepted lease to be over at once.
+    /// An acceptor considers an accepted lease expired almost at once.
     ExpiresEarly,
-    /// A lease counts from the last accept's arrival.
+    /// A lease counts from the arrival of the last accept response.
     CountsFromResponse,
-    /// An acceptor promises right after a restart.
+    /// An acceptor makes promises right after a restart.
     SkipsGracePeriod,
-    /// An acceptor accepts any ballot.
+    /// An acceptor accepts a value under any ballot.
     AcceptsUnpromised,
-    /// One acceptor is a majority.
+    /// Each proposer treats one acceptor as a majority.
     TrustsOneAcceptor,
 }
 
@@ -43,11 +43,11 @@
     now: Timestamp,
     acceptors: Vec<Acceptor>,
     proposers: Vec<Proposer>,
-    /// Requests under way, by proposer and acceptor.
+    /// Holds the requests in flight, by proposer and acceptor.
     requests_in_flight: BTreeMap<(usize, usize), Message>,
-    /// Accept requests of abandoned proposals, each with its acceptor.
+    /// Holds the accept requests of abandoned proposals, each with its acceptor.
     stray_accepts: Vec<(usize, Message)>,
-    /// When leases end by the mutant that counts from the response.
+    /// Holds when leases expire if they count from the response, as one mutant does.
     held_from_response: [Option<Timestamp>; PROPOSERS],
     restart_count: usize,
     proposal_count: usize,
@@ -113,7 +113,7 @@
     Deliver(usize, usize),
     /// The proposer's request reaches the acceptor, and the response is lost.
     DeliverLosingResponse(usize, usize),
-    /// The proposer abandons its proposal; accept requests under way remain so.
+    /// The proposer abandons its proposal. Its accept requests stay in flight.
     Abandon(usize),
     /// An accept request of an abandoned proposal arrives.
     DeliverStray(usize),
@@ -124,7 +124,7 @@
 struct TwoProposers {
     mutant: Mutant,
     max_restarts: usize,
-    /// Proposals of both proposers in all.
+    /// Limits the total number of proposals of both proposers.
     max_proposals: usize,
 }
 
@@ -150,7 +150,8 @@
         }
     }
 
-    /// Of the mutant: each proposer knows one acceptor, and not the same.
+    /// Returns the proposer's rules. For one mutant, each proposer knows a single acceptor, which differs
+    /// between them.
     fn proposer_rules(&self, proposer: usize) -> LeaseRules {
         let mut rules = self.rules();
         if self.mutant == Mutant::TrustsOneAcceptor {
@@ -159,7 +160,7 @@
         rules
     }
 
-    /// The acceptor's response to a request that reaches it.
+    /// Delivers a request to an acceptor and returns its response.
     fn deliver_request(
         &self,
         state: &mut ClusterState,
@@ -168,7 +169,7 @@
     ) -> Option<Message> {
         if let (Mutant::AcceptsUnpromised, Message::Accept { ballot, value, lease }) = (self.mutant, request)
         {
-            // As if the ballot were the one that was promised last.
+            // The mutant replaces the ballot with the one that the acceptor promised last.
             let promised =
                 state.acceptors[acceptor].registers().map(|(_, register)| register.promised).next();
             let forged =
@@ -291,7 +292,7 @@
         let proposer = |index| Proposer::new(holder(index), LEASE, DURATION, FencingToken(0));
         vec![ClusterState {
             now: Timestamp(1_000_000),
-            // Started long ago, so out of their grace period.
+            // The acceptors started long ago, so their grace period is over.
             acceptors: (0..ACCEPTORS).map(|_| Acceptor::new(Timestamp(0))).collect(),
             proposers: (0..PROPOSERS).map(proposer).collect(),
             requests_in_flight: BTreeMap::new(),
@@ -313,7 +314,7 @@
 
     fn check_invariant(&self, state: &ClusterState) -> Result<(), String> {
         let holders = (0..PROPOSERS).filter(|&proposer| self.is_holding(state, proposer)).count();
-        if holders < 2 { Ok(()) } else { Err(format!("{holders} hold at once")) }
+        if holders < 2 { Ok(()) } else { Err(format!("{holders} hold the lease at once")) }
     }
 }
 
@@ -332,7 +333,7 @@
 }
 
 #[test]
-fn no_two_proposers_hold_the_lease_at_once() {
+fn two_proposers_never_hold_the_lease_at_once() {
     for (max_restarts, max_proposals) in [(0, 2), (0, 3), (1, 2), (1, 3)] {
         let exploration = explore(
             &TwoProposers { mutant: Mutant::None, max_restarts, max_proposals },
@@ -345,7 +346,7 @@
 }
 
 #[test]
-fn every_mutant_is_found() {
+fn each_mutant_allows_two_holders() {
     let mut report = String::new();
     for (mutant, max_restarts, max_proposals) in [
         (Mutant::ExpiresEarly, 0, 2),
@@ -358,15 +359,15 @@
         report += &format!("mutant {mutant:?}: {}\n", format_exploration(&exploration));
     }
     expect![[r#"
-        mutant ExpiresEarly: after 11 steps: 2 hold at once
+        mutant ExpiresEarly: after 11 steps: 2 hold the lease at once
             StartProposal(0), StartProposal(1), Deliver(0, 0), Deliver(0, 1), Deliver(0, 0), AdvanceTime, Deliver(0, 1), Deliver(1, 0), Deliver(1, 2), Deliver(1, 0), Deliver(1, 2)
-        mutant CountsFromResponse: after 12 steps: 2 hold at once
+        mutant CountsFromResponse: after 12 steps: 2 hold the lease at once
             StartProposal(0), StartProposal(1), Deliver(0, 0), Deliver(0, 1), Deliver(0, 0), AdvanceTime, AdvanceTime, Deliver(0, 1), Deliver(1, 0), Deliver(1, 2), Deliver(1, 0), Deliver(1, 2)
-        mutant SkipsGracePeriod: after 11 steps: 2 hold at once
+        mutant SkipsGracePeriod: after 11 steps: 2 hold the lease at once
             StartProposal(0), StartProposal(1), Deliver(0, 0), Deliver(0, 1), Deliver(0, 0), Deliver(0, 1), Deliver(1, 2), RestartAcceptor(0), Deliver(1, 0), Deliver(1, 0), Deliver(1, 2)
-        mutant AcceptsUnpromised: after 10 steps: 2 hold at once
+        mutant AcceptsUnpromised: after 10 steps: 2 hold the lease at once
             StartProposal(0), StartProposal(1), Deliver(0, 0), Deliver(0, 1), Deliver(0, 0), Deliver(1, 1), Deliver(0, 1), Deliver(1, 2), Deliver(1, 1), Deliver(1, 2)
-        mutant TrustsOneAcceptor: after 6 steps: 2 hold at once
+        mutant TrustsOneAcceptor: after 6 steps: 2 hold the lease at once
             StartProposal(0), StartProposal(1), Deliver(0, 0), Deliver(0, 0), Deliver(1, 1), Deliver(1, 1)
     "#]].assert_eq(&report);
 }
--- a/crates/leases/tests/simulated.rs
+++ b/crates/leases/tests/simulated.rs
@@ -1,6 +1,8 @@
-//! Seeded runs on a virtual clock: clients at three to seven acceptors, with loss, delay, duplication, partitions, pauses,
-//! restarts of acceptors and clients, and clocks that drift by no more than the rules state. At most client client holds the
-//! lease at a time, and after the last fault it is held again. With more drift only the target's check of the token is left.
+//! Seeded simulations on a virtual clock, in which clients acquire a lease from three, five or seven
+//! acceptors. Faults are loss, delay, duplication, partitions, pauses, restarts of acceptors and clients, and
+//! clocks that drift. While the drift is within the rules, at most one client holds the lease at a time, and
+//! a client holds it again after the last fault. Beyond that drift only the target's check of the fencing
+//! token protects it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -40,14 +42,14 @@
     is_paused: bool,
     incarnation: u64,
     lease_client: LeaseClient,
-    /// The lease that its last action went out under, which reaches the target later.
-    acting_under: Option<HeldLease>,
+    /// Holds the lease under which the client sent its last action, which may reach the target later.
+    last_action_lease: Option<HeldLease>,
 }
 
 impl SimulatedClient {
     fn new(seed: u64, index: usize, clock: Clock) -> SimulatedClient {
         let lease_client = SimulatedCluster::new_client(seed, index, 1, clock_time(&clock, 0), 0);
-        SimulatedClient { clock, is_paused: false, incarnation: 1, lease_client, acting_under: None }
+        SimulatedClient { clock, is_paused: false, incarnation: 1, lease_client, last_action_lease: None }
     }
 }
 
@@ -83,7 +85,7 @@
     clients: Vec<SimulatedClient>,
     cut_links: BTreeSet<(usize, usize)>,
     faults_end_at: i64,
-    /// The largest token that the target has seen.
+    /// Holds the largest token that the target has seen.
     target_token: FencingToken,
     rejected_actions: usize,
     accepted_actions: usize,
@@ -100,7 +102,7 @@
 }
 
 impl SimulatedCluster {
-    /// `drift` is what the rules state, `true_drift` by how much clocks drift.
+    /// Creates a cluster whose rules state `drift` and whose clocks differ by up to `true_drift`.
     fn new(
         seed: u64,
         acceptor_count: usize,
@@ -195,7 +197,7 @@
         let holders = self.holders();
         if holders.len() > 1 {
             let at = self.now as f64 / SECOND as f64;
-            self.violation.get_or_insert(format!("{at:.4} s: {holders:?} hold at once"));
+            self.violation.get_or_insert(format!("{at:.4} s: {holders:?} hold the lease at once"));
         }
         if !holders.is_empty() {
             self.is_held_after_faults |= self.now > self.faults_end_at + 40 * SECOND;
@@ -227,7 +229,7 @@
         let acceptor = (self.rng.next_f64() * self.acceptors.len() as f64) as usize;
         match (self.rng.next_f64() * 6.0) as usize {
             0 => self.restart_acceptor(acceptor),
-            // All acceptors forget at once.
+            // All acceptors lose their memory at once.
             1 => (0..self.acceptors.len()).for_each(|acceptor| self.restart_acceptor(acceptor)),
             2 => {
                 let client = self.holders().first().copied().unwrap_or(client);
@@ -257,7 +259,7 @@
         let incarnation = client.incarnation + 1;
         client.incarnation = incarnation;
         client.lease_client = SimulatedCluster::new_client(incarnation, index, incarnation, now, self.now);
-        client.acting_under = None;
+        client.last_action_lease = None;
     }
 
     fn cut_random_links(&mut self, duration: i64) {
@@ -287,7 +289,7 @@
         }
     }
 
-    /// False where the event had no effect.
+    /// Returns false if the event had no effect.
     fn handle(&mut self, event: Event) -> bool {
         match event {
             Event::Tick(client) => self.tick(client),
@@ -336,8 +338,9 @@
 
     fn resume(&mut self, client: usize) {
         self.clients[client].is_paused = false;
-        // It acts on a lease that it saw before the pause: the case that the token is for.
-        if let Some(held) = self.clients[client].acting_under.take() {
+        // The client acts on a lease that it checked before the pause. Only the token protects the target
+        // here.
+        if let Some(held) = self.clients[client].last_action_lease.take() {
             self.schedule(0, Event::ReachTarget(held.token));
         }
         self.tick(client);
@@ -346,8 +349,8 @@
     fn act(&mut self, index: usize) {
         let client = &mut self.clients[index];
         if !client.is_paused {
-            client.acting_under = client.lease_client.held(clock_time(&client.clock, self.now));
-            if let Some(held) = client.acting_under {
+            client.last_action_lease = client.lease_client.held(clock_time(&client.clock, self.now));
+            if let Some(held) = client.last_action_lease {
                 let delay = self.random_delay().min(SECOND / 100);
                 self.schedule(delay, Event::ReachTarget(held.token));
             }
@@ -366,7 +369,7 @@
 }
 
 #[test]
-fn at_most_one_client_holds_and_one_does_after_the_faults() {
+fn lease_has_one_holder_and_is_reacquired_after_faults() {
     let rejected_actions = AtomicU64::new(0);
     let accepted_actions = AtomicU64::new(0);
     let violation = first_failing_seed(seed_count(200), OnFailure::Continue, |seed| {
@@ -378,21 +381,21 @@
         rejected_actions.fetch_add(cluster.rejected_actions as u64, Ordering::Relaxed);
         accepted_actions.fetch_add(cluster.accepted_actions as u64, Ordering::Relaxed);
         let not_held =
-            (!cluster.is_held_after_faults).then(|| "nobody holds it after the faults".to_string());
+            (!cluster.is_held_after_faults).then(|| "no client holds the lease after the faults".to_string());
         cluster.violation.or(not_held)
     });
     assert_eq!(violation, None);
-    // Runs in which the target never rejects an action show nothing of the token.
+    // If the target never rejects an action, the runs do not exercise the token.
     assert!(rejected_actions.into_inner() > 0 && accepted_actions.into_inner() > 0);
 }
 
-/// The stated drift is a real bound: where clocks drift by more, two clients may hold the lease at once.
+/// The stated drift is a real bound: if clocks drift by more, two clients may hold the lease at once.
 #[test]
-fn two_clients_may_hold_beyond_the_stated_drift() {
+fn two_clients_may_hold_the_lease_beyond_the_stated_drift() {
     let violation = first_failing_seed(200, OnFailure::Continue, |seed| {
         let mut cluster = SimulatedCluster::new(seed, 3, 6, 0.0, 0.5);
         cluster.run();
         cluster.violation
     });
-    assert!(violation.is_some_and(|violation| violation.reason.contains("hold at once")));
+    assert!(violation.is_some_and(|violation| violation.reason.contains("hold the lease at once")));
 }
--- a/crates/leases/tests/wire_format.rs
+++ b/crates/leases/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! The bytes of lease messages, and the numbers that all balancers derive from a lease's name alike. Every
-//! field has a value of its own, so that two swapped fields or variants show.
+//! Pins the encoding of lease messages and the ids that all balancers derive from a lease's name. Every field
+//! has a distinct value, so that the test detects swapped fields or variants.
 
 use doorproxy_leases::messages::{
     AcceptedLease, Ballot, Envelope, FencingToken, LeaseId, LeaseValue, Message, ProcessIdentity,
@@ -22,7 +22,7 @@
     value(Some(ProcessIdentity { node: NodeId(0x21), incarnation: Incarnation(0x22) }))
 }
 
-/// The kinds in their order on the wire, and what may be absent in them.
+/// Names a message by its variant's position on the wire and by which optional parts are absent.
 fn label(message: &Envelope) -> &'static str {
     match message.message {
         Message::Prepare { .. } => "0 prepare request",
@@ -30,18 +30,20 @@
         Message::Promise {
             accepted: Some(AcceptedLease { value: LeaseValue { holder: None, .. }, .. }),
             ..
-        } => "1 promise, a free lease accepted before",
-        Message::Promise { accepted: Some(_), .. } => "1 promise, a lease of another accepted before",
-        Message::Accept { value: LeaseValue { holder: None, .. }, .. } => "2 accept request for a free lease",
-        Message::Accept { .. } => "2 accept request for a lease",
-        Message::Accepted { .. } => "3 accept answer",
+        } => "1 promise, a released lease accepted before",
+        Message::Promise { accepted: Some(_), .. } => "1 promise, a held lease accepted before",
+        Message::Accept { value: LeaseValue { holder: None, .. }, .. } => {
+            "2 accept request for a released lease"
+        }
+        Message::Accept { .. } => "2 accept request for a held lease",
+        Message::Accepted { .. } => "3 accepted response",
         Message::Rejected { .. } => "4 rejection",
-        Message::InGracePeriod { .. } => "5 replica started too recently",
+        Message::InGracePeriod { .. } => "5 acceptor in its grace period",
     }
 }
 
 #[test]
-fn each_kind_of_message_keeps_its_bytes() {
+fn each_message_kind_keeps_its_encoding() {
     let promise = |accepted| Message::Promise { lease: LEASE, ballot: BALLOT, accepted };
     let messages = [
         Message::Prepare { lease: LEASE, ballot: BALLOT },
@@ -61,20 +63,20 @@
         expect![[r#"
         0 prepare request: 026e310011121314
         1 promise, nothing accepted before: 026e31011112131400
-        1 promise, a free lease accepted before: 026e310111121314010023484a
-        1 promise, a lease of another accepted before: 026e3101111213140101212223484a
-        2 accept request for a free lease: 026e310211121314002348
-        2 accept request for a lease: 026e3102111213140121222348
-        3 accept answer: 026e310311121314
+        1 promise, a released lease accepted before: 026e310111121314010023484a
+        1 promise, a held lease accepted before: 026e3101111213140101212223484a
+        2 accept request for a released lease: 026e310211121314002348
+        2 accept request for a held lease: 026e3102111213140121222348
+        3 accepted response: 026e310311121314
         4 rejection: 026e310411121314151617
-        5 replica started too recently: 026e310511121314
+        5 acceptor in its grace period: 026e310511121314
     "#]],
     );
 }
 
-/// Widths and signs show where a number takes all the bytes that its type has.
+/// The largest values need every byte of their type, so they pin the width and sign of each field.
 #[test]
-fn the_largest_numbers_keep_their_bytes() {
+fn largest_values_keep_their_encoding() {
     let holder = ProcessIdentity { node: NodeId(u64::MAX - 4), incarnation: Incarnation(u64::MAX - 5) };
     let value =
         LeaseValue { holder: Some(holder), token: FencingToken(u64::MAX - 6), duration_ticks: i64::MAX };
@@ -88,14 +90,14 @@
         &[envelope],
         label,
         expect![[r#"
-        1 promise, a lease of another accepted before: 026e3101ffffffffffffffffff01feffffffffffffffff01fdffffffffffffffff01fcffffffffffffffff010101fbffffffffffffffff01faffffffffffffffff01f9ffffffffffffffff01feffffffffffffffff01ffffffffffffffffff01
+        1 promise, a held lease accepted before: 026e3101ffffffffffffffffff01feffffffffffffffff01fdffffffffffffffff01fcffffffffffffffff010101fbffffffffffffffff01faffffffffffffffff01f9ffffffffffffffff01feffffffffffffffff01ffffffffffffffffff01
     "#]],
     );
 }
 
-/// Replicas know leases by these numbers alone.
+/// Acceptors identify leases by these ids alone, so all builds must derive the same ids.
 #[test]
-fn a_lease_has_the_same_number_everywhere() {
+fn lease_ids_derived_from_names_are_stable() {
     let mut numbers = String::new();
     for (name, slot) in
         [("backup", 0), ("backup", 1), ("backup", u16::MAX), ("limits", 0), ("limits", 2), ("", 0)]
