--- a/crates/quotas/src/node.rs
+++ b/crates/quotas/src/node.rs
@@ -1,7 +1,9 @@
-//! A node's part in the fleet's limits: its client and, where the node is an acceptor, the registers of the shards' leases and
-//! the allocators of the shards whose lease it holds. Messages to itself are delivered at once.
+//! The state machine of one node for the fleet's limits. Every node has a client. A node that is an acceptor
+//! also stores the registers of the shards' leases, and allocates the shards whose lease it holds. Messages
+//! that it sends to itself are delivered at once.
 //!
-//! Invariant: a shard is allocated only while its lease is held, by the node's own clock at that moment.
+//! Invariant: a node allocates a shard only while it holds the shard's lease, by its own clock at that
+//! moment.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -19,47 +21,48 @@
 use crate::quota_client::QuotaClient;
 use crate::rules::QuotaRules;
 
-/// The name under which shards have their leases.
+/// Names the leases of the shards; the shard's number is the slot.
 const LEASE_NAME: &str = "limits";
-/// How much longer each next acceptor waits before it first requests a shard's lease, as a ratio of the lease's duration: so
-/// shards are spread over the acceptors.
+/// Sets how much longer each further acceptor waits at first before it requests a shard's lease, as a ratio
+/// of the lease's duration. This spreads the shards over the acceptors.
 const PREFERENCE_DELAY_RATIO: f64 = 0.4;
-/// The shortest time between two ticks.
+/// Sets the shortest wait until the tick at which a node starts to request a shard's lease.
 const MIN_TICK_INTERVAL: Ticks = Ticks(10);
 
-/// Messages about limits and their recipients.
+/// Holds quota messages and their recipients.
 pub type Outgoing = Vec<OutgoingMessage<Message>>;
 
-/// A shard that this node allocates, for operators.
+/// Describes a shard that this node allocates, for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AllocatorStatus {
-    /// The shard.
+    /// Identifies the shard.
     pub shard: Shard,
-    /// The token of the shard's lease.
+    /// Holds the fencing token of the shard's lease.
     pub token: FencingToken,
-    /// The limits that were requested so far.
+    /// Holds the buckets of the limits that were requested so far.
     pub buckets: Vec<BucketStatus>,
 }
 
 struct ActiveAllocator {
-    /// The token under which it allocates.
+    /// Holds the fencing token of the lease under which it allocates.
     token: FencingToken,
     allocator: QuotaAllocator,
 }
 
-/// A shard at a node that may allocate it.
+/// Holds the state of a shard at a node that may allocate it.
 struct ShardAllocator {
     lease: LeaseId,
     lease_client: LeaseClient,
-    /// When it starts to request the lease.
+    /// Sets when the node starts to request the lease.
     acquire_after: Timestamp,
-    /// Present while the lease was held at the last look.
+    /// Holds the allocator if the lease was held at the last check.
     active: Option<ActiveAllocator>,
 }
 
 impl ShardAllocator {
-    /// Starts an empty allocator for a newly acquired lease, and drops it when the lease is lost.
-    fn follow_lease(&mut self, now: Timestamp) {
+    /// Starts an allocator with empty buckets when the lease is acquired, and drops it when the lease is
+    /// lost.
+    fn update_allocator(&mut self, now: Timestamp) {
         let Some(held) = self.lease_client.held(now) else {
             self.active = None;
             return;
@@ -70,7 +73,7 @@
     }
 
     fn tick(&mut self, now: Timestamp, lease_rules: &leases::LeaseRules) -> TickResult<leases::Message> {
-        self.follow_lease(now);
+        self.update_allocator(now);
         if now >= self.acquire_after {
             self.lease_client.set_request(now, Some(LeaseRequest::Hold));
         }
@@ -78,15 +81,16 @@
     }
 }
 
-/// The state machine of one node for all limits.
+/// Holds the state of one node for all limits.
 pub struct QuotaNode {
     local_holder: ProcessIdentity,
     rules: Arc<QuotaRules>,
     lease_rules: leases::LeaseRules,
     client: Arc<Mutex<QuotaClient>>,
-    /// Only of a node that is an acceptor.
+    /// Holds the acceptor, at a node that is one.
     acceptor: Option<Acceptor>,
-    /// All shards by number, and only of a node that is an acceptor: clients know where acceptors are.
+    /// Holds all shards by number at a node that is an acceptor, and is empty at others: clients send their
+    /// requests only to acceptors.
     shards: Vec<ShardAllocator>,
 }
 
@@ -94,7 +98,7 @@
     client.lock().expect("no panic while the quota client is locked")
 }
 
-fn from_lease_messages(messages: Vec<OutgoingMessage<leases::Message>>) -> Outgoing {
+fn wrap_lease_messages(messages: Vec<OutgoingMessage<leases::Message>>) -> Outgoing {
     let wrap = |sent: OutgoingMessage<leases::Message>| OutgoingMessage {
         to: sent.to,
         message: Message::Lease(sent.message),
@@ -103,7 +107,8 @@
 }
 
 impl QuotaNode {
-    /// A node that starts at `now`; `token_floor` as in [`doorproxy_leases::proposer::Proposer::new`].
+    /// Creates a node that starts at `now`. See [`doorproxy_leases::proposer::Proposer::new`] for
+    /// `token_floor`.
     pub fn new(
         now: Timestamp,
         local_holder: ProcessIdentity,
@@ -139,30 +144,31 @@
         }
     }
 
-    /// The client that request threads spend from. The node locks it for one call at a time.
+    /// Returns the client from which request threads spend. The node locks it for one call at a time.
     pub fn client(&self) -> Arc<Mutex<QuotaClient>> {
         self.client.clone()
     }
 
-    /// Lets time pass: the client's requests and the lease proposals that are due.
+    /// Sends the client's requests and the lease proposals that are due.
     pub fn tick(&mut self, now: Timestamp) -> TickResult<Message> {
         let TickResult { mut outgoing, mut next_tick_at } = lock(&self.client).tick(now);
         for shard in &mut self.shards {
             let result = shard.tick(now, &self.lease_rules);
-            outgoing.extend(from_lease_messages(result.outgoing));
+            outgoing.extend(wrap_lease_messages(result.outgoing));
             let acquire_at = shard.acquire_after.max(now + MIN_TICK_INTERVAL);
             next_tick_at = next_tick_at.min(result.next_tick_at).min(acquire_at);
         }
         TickResult { outgoing: self.deliver_to_self(now, outgoing), next_tick_at }
     }
 
-    /// Handles a message of another process and gives what to send: responses to the sender, the rest to acceptors.
+    /// Handles a message of another process, and returns the messages to send: responses to the sender, and
+    /// others to acceptors.
     pub fn on_message(&mut self, now: Timestamp, from: ProcessIdentity, message: &Message) -> Outgoing {
         let outgoing = self.handle(now, from, message);
         self.deliver_to_self(now, outgoing)
     }
 
-    /// Handles the messages that are for this node, and gives the others.
+    /// Handles the messages that are addressed to this node, and returns the others.
     fn deliver_to_self(&mut self, now: Timestamp, outgoing: Outgoing) -> Outgoing {
         let mut queue = VecDeque::from(outgoing);
         let mut to_others = Vec::new();
@@ -214,8 +220,8 @@
             return Vec::new();
         };
         let outgoing = shard.lease_client.on_response(now, from.node, response, &self.lease_rules);
-        shard.follow_lease(now);
-        from_lease_messages(outgoing)
+        shard.update_allocator(now);
+        wrap_lease_messages(outgoing)
     }
 
     fn respond_to_demands(
@@ -231,18 +237,18 @@
             let allocations = allocator.allocate(now, from, nonce, demands, &rules)?;
             return Some(Message::AllocationGrant { nonce, allocations });
         }
-        Some(Message::Redirect { nonce, allocator: self.accepted_allocator(now, shard) })
+        Some(Message::Redirect { nonce, allocator: self.known_allocator(now, shard) })
     }
 
-    /// The allocator of a shard whose lease is held at `now`.
+    /// Returns the allocator of a shard if this node holds the shard's lease at `now`.
     fn active_allocator(&mut self, now: Timestamp, shard: Shard) -> Option<&mut QuotaAllocator> {
         let shard = self.shards.get_mut(usize::from(shard.0))?;
-        shard.follow_lease(now);
+        shard.update_allocator(now);
         shard.active.as_mut().map(|active| &mut active.allocator)
     }
 
-    /// The holder of a shard's lease, by the node's own acceptor.
-    fn accepted_allocator(&self, now: Timestamp, shard: Shard) -> Option<NodeId> {
+    /// Returns the node that holds a shard's lease, as far as this node's acceptor knows.
+    fn known_allocator(&self, now: Timestamp, shard: Shard) -> Option<NodeId> {
         let lease = LeaseId::from_name(LEASE_NAME, shard.0);
         let (_, register) = self.acceptor.as_ref()?.registers().find(|(id, _)| **id == lease)?;
         let accepted = register.accepted_lease(now, &self.lease_rules)?;
@@ -252,7 +258,7 @@
         accepted.value.holder.map(|holder| holder.node)
     }
 
-    /// The shards that this node allocates.
+    /// Returns the status of each shard that this node allocates.
     pub fn allocator_statuses(&self, now: Timestamp) -> Vec<AllocatorStatus> {
         let status = |(index, shard): (usize, &ShardAllocator)| {
             shard.lease_client.held(now)?;
@@ -263,7 +269,8 @@
         self.shards.iter().enumerate().filter_map(status).collect()
     }
 
-    /// Whether its acceptor is out of its grace period; `None` where it is no acceptor.
+    /// Returns whether this node's acceptor is past its grace period, or `None` if the node is not an
+    /// acceptor.
     pub fn is_acceptor_voting(&self, now: Timestamp) -> Option<bool> {
         self.acceptor.as_ref().map(|acceptor| !acceptor.is_in_grace_period(now, &self.lease_rules))
     }
--- a/crates/quotas/src/quota_allocator.rs
+++ b/crates/quotas/src/quota_allocator.rs
@@ -1,7 +1,8 @@
-//! The allocator of a shard's limits: it grants out of one bucket a limit.
+//! The allocator of a shard's limits, which grants requests from one token bucket per limit.
 //!
-//! A new allocator starts with empty buckets, since it does not know what the last one granted. Invariants: it grants no more
-//! than its buckets hold, and answers no request twice. Its owner checks the shard's lease before each call.
+//! A new allocator starts with empty buckets, because it does not know what the last one granted. Invariants:
+//! it grants no more than its buckets hold, and answers no request twice. The caller checks the shard's lease
+//! before each call.
 
 mod bucket;
 mod fair_shares;
@@ -16,9 +17,9 @@
 use crate::rules::QuotaRules;
 use bucket::Bucket;
 
-/// Bounds the memory of an allocator: further clients are granted nothing.
+/// Limits the memory of an allocator, which grants nothing to further clients.
 const MAX_CLIENTS: usize = 4000;
-/// Where there are too many clients, those without a request for this many contact timeouts are forgotten.
+/// Sets after how many contact timeouts without a request a client may be forgotten to make room for another.
 const LAST_REQUEST_TIMEOUT_FACTOR: f64 = 2.0;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -28,14 +29,14 @@
     received_at: Timestamp,
 }
 
-/// The bucket of one limit, for operators.
+/// Describes the bucket of one limit, for operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BucketStatus {
-    /// The limit.
+    /// Identifies the limit.
     pub limit: LimitId,
-    /// The requests that the bucket holds now.
+    /// Holds the number of requests in the bucket now.
     pub balance: f64,
-    /// How many nodes have requested from it recently.
+    /// Holds the number of nodes that have recently requested from the bucket.
     pub client_count: usize,
 }
 
@@ -44,23 +45,23 @@
 pub struct QuotaAllocator {
     started_at: Timestamp,
     buckets: BTreeMap<LimitId, Bucket>,
-    /// Of each client: a repeated or overtaken request is granted nothing.
+    /// Holds the last request of each client, so that a repeated or reordered request is granted nothing.
     last_requests: BTreeMap<NodeId, LastRequest>,
 }
 
 impl QuotaAllocator {
-    /// An allocator whose buckets are empty at `now`.
+    /// Creates an allocator whose buckets are empty at `now`.
     pub fn new(now: Timestamp) -> QuotaAllocator {
         QuotaAllocator { started_at: now, buckets: BTreeMap::new(), last_requests: BTreeMap::new() }
     }
 
-    /// The time since its start.
+    /// Returns the time since the allocator started.
     pub fn age(&self, now: Timestamp) -> Ticks {
         now - self.started_at
     }
 
-    /// Grants what it can of each demand. `None` where this request or a later one of the client was answered before, or where
-    /// there are too many clients.
+    /// Grants as much of each demand as possible. Returns `None` if this request or a later one of the client
+    /// was answered before, or if there are too many clients.
     pub fn allocate(
         &mut self,
         now: Timestamp,
@@ -81,7 +82,7 @@
         Some(demands.iter().filter_map(allocate).collect())
     }
 
-    /// Records a request that is later than all others of the client, where there is room for it.
+    /// Records a request and returns true, if it is the latest of its client and there is room for it.
     fn accept_request(
         &mut self,
         now: Timestamp,
@@ -105,7 +106,7 @@
         true
     }
 
-    /// The buckets of all limits that were requested so far.
+    /// Returns the status of each limit that was requested so far.
     pub fn bucket_statuses(&self, now: Timestamp, rules: &QuotaRules) -> Vec<BucketStatus> {
         let status = |(&limit, bucket): (&LimitId, &Bucket)| {
             let mut bucket = bucket.clone();
--- a/crates/quotas/src/quota_allocator/bucket.rs
+++ b/crates/quotas/src/quota_allocator/bucket.rs
@@ -1,6 +1,6 @@
-//! The token bucket of one limit, shared fairly among the clients that request from it.
+//! The token bucket of one limit, which its clients share fairly.
 //!
-//! Invariant: no more is granted than the bucket holds, and it never holds more than the limit's burst.
+//! Invariant: a bucket grants no more than it holds, and never holds more than the limit's burst.
 
 use std::collections::BTreeMap;
 
@@ -12,17 +12,18 @@
 use crate::messages::{Allocation, Demand};
 use crate::rules::RateLimit;
 
-/// Shares are computed anew after this ratio of the contact timeout, and for each new client.
+/// Sets the age at which shares are computed again, as a ratio of the contact timeout. They are also computed
+/// again for each new client.
 const SHARE_REFRESH_RATIO: f64 = 0.05;
-/// A client that has not requested for this many contact timeouts is forgotten.
+/// Sets after how many contact timeouts without a request a client is forgotten.
 const CLIENT_TIMEOUT_FACTOR: f64 = 2.0;
 
 #[derive(Clone, Debug, PartialEq)]
 struct ClientState {
     last_request_at: Timestamp,
-    /// Requests a second that arrive at the client.
+    /// Holds the requests per second that arrive at the client.
     demand: f64,
-    /// What its share has brought since, in requests, less what it was granted.
+    /// Holds the requests that the client has accumulated from its share and has not been granted yet.
     credit: f64,
 }
 
@@ -35,12 +36,12 @@
 }
 
 impl Bucket {
-    /// An empty bucket that fills from `started_at`.
+    /// Creates an empty bucket that fills from `started_at`.
     pub(super) fn new(started_at: Timestamp) -> Bucket {
         Bucket { refilled_at: started_at, balance: 0.0, clients: BTreeMap::new(), shares: None }
     }
 
-    /// The requests that it holds since it was refilled last.
+    /// Returns the number of requests in the bucket as of its last refill.
     pub(super) fn balance(&self) -> f64 {
         self.balance
     }
@@ -89,7 +90,7 @@
         self.clients.retain(|_, client| now - client.last_request_at < timeout);
     }
 
-    /// Records a request, and gives the seconds since the client's last one, at most the contact timeout.
+    /// Records a request, and returns the seconds since the client's last one, at most the contact timeout.
     fn update_client(
         &mut self,
         now: Timestamp,
@@ -115,13 +116,14 @@
         self.shares = Some(max_min_fair_shares(now, limit.rate, demands));
     }
 
-    /// Grants a client whole requests up to its credit, or up to an even part of the balance where that is more: so a burst at
-    /// one client is admitted while the bucket holds enough. `None` for a client that is not known.
+    /// Grants a client whole requests up to its credit or to an equal part of the balance, whichever is
+    /// larger. The latter admits a burst at one client while the bucket holds enough. Returns `None` for an
+    /// unknown client.
     fn grant(&mut self, client: NodeId, requested: f64, earned: f64, max_credit: f64) -> Option<u32> {
-        let even_part = self.balance / self.clients.len().max(1) as f64;
+        let equal_share = self.balance / self.clients.len().max(1) as f64;
         let state = self.clients.get_mut(&client)?;
         state.credit = (state.credit + earned).min(max_credit);
-        let granted = requested.min(state.credit.max(even_part)).min(self.balance).floor().max(0.0);
+        let granted = requested.min(state.credit.max(equal_share)).min(self.balance).floor().max(0.0);
         state.credit = (state.credit - granted).max(0.0);
         self.balance -= granted;
         Some(granted as u32)
--- a/crates/quotas/src/quota_allocator/fair_shares.rs
+++ b/crates/quotas/src/quota_allocator/fair_shares.rs
@@ -1,25 +1,26 @@
-//! Max-min fair shares of a rate: nobody gets more than it needs while another gets less than that.
+//! Max-min fair shares of a rate. Small demands are met, and the clients whose demands cannot be met get
+//! equal shares. If the rate exceeds the sum of all demands, the rest is divided equally.
 
 use doorproxy::ids::Timestamp;
 
-/// The shares of all clients of a bucket.
+/// Determines the share of each client of a bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct FairShares {
     pub(crate) computed_at: Timestamp,
-    /// Requests a second: the largest share while the rate is scarce.
+    /// Limits the share of each client while the rate is scarce, in requests per second.
     fair_share: f64,
-    /// Requests a second that each client gets beyond its demand.
+    /// Holds the requests per second that each client gets in addition to its demand.
     surplus_share: f64,
 }
 
 impl FairShares {
-    /// The share of a client with this demand, both in requests a second.
+    /// Returns the share of a client with this demand, both in requests per second.
     pub(crate) fn share_of(&self, demand: f64) -> f64 {
         demand.min(self.fair_share) + self.surplus_share
     }
 }
 
-/// Shares `rate` among clients with these demands, all in requests a second.
+/// Divides `rate` among clients with these demands, all in requests per second.
 pub(crate) fn max_min_fair_shares(
     now: Timestamp,
     rate: f64,
@@ -30,9 +31,9 @@
     let count = demands.len();
     let mut remaining = rate;
     for (index, demand) in demands.iter().enumerate() {
-        let even_share = remaining / (count - index) as f64;
-        if *demand > even_share {
-            return FairShares { computed_at: now, fair_share: even_share, surplus_share: 0.0 };
+        let equal_share = remaining / (count - index) as f64;
+        if *demand > equal_share {
+            return FairShares { computed_at: now, fair_share: equal_share, surplus_share: 0.0 };
         }
         remaining -= demand;
     }
--- a/crates/quotas/src/quota_allocator/fair_shares/tests.rs
+++ b/crates/quotas/src/quota_allocator/fair_shares/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Shares use the whole rate, never exceed it, and do not starve small demands for large ones.
+/// Shares use the whole rate, never exceed it, and do not starve small demands in favour of large ones.
 #[test]
 fn shares_are_max_min_fair() {
     let shares_of = |rate: f64, demands: &[f64]| {
--- a/crates/quotas/src/quota_client.rs
+++ b/crates/quotas/src/quota_client.rs
@@ -1,7 +1,8 @@
-//! A node's client of the fleet's limits: request threads spend from it at once, and the network thread refills it.
+//! A node's client of the fleet's limits. Request threads spend from its balances without waiting for the
+//! network, and the network thread refills them.
 //!
-//! Invariants: no request is admitted by an allocation past its lifetime, counted from before it was requested, or by the
-//! fallback rate while the allocator is in contact.
+//! Invariants: no request is admitted against an expired allocation, whose lifetime counts from before it was
+//! requested, or against the fallback rate while the allocator is in contact.
 
 mod local_balance;
 mod shard_contact;
@@ -18,45 +19,46 @@
 use local_balance::{LocalBalance, UsableAllocation};
 use shard_contact::ShardContact;
 
-/// The shortest interval between two requests for a shard, as a ratio of the contact timeout.
+/// Sets the shortest interval between two requests for a shard, as a ratio of the contact timeout.
 const REQUEST_INTERVAL_RATIO: f64 = 0.1;
-/// The interval between requests for a shard without demand, as a ratio of the contact timeout.
+/// Sets the interval between requests for a shard without demand, as a ratio of the contact timeout.
 const HEARTBEAT_INTERVAL_RATIO: f64 = 0.3;
-/// Requests without a response are forgotten above this number, or twice those sent at once where that is more.
+/// Limits the pending requests, unless twice the number sent in the current tick is larger. Beyond the limit
+/// the oldest requests are forgotten.
 const MAX_PENDING_REQUESTS: usize = 64;
-/// An incarnation is a time in milliseconds, and its nonces start at that time shifted by these bits: a million nonces fit into
-/// each millisecond.
+/// Shifts an incarnation, which is a time in milliseconds, to make the first nonce of its process. This
+/// leaves a million nonces for each millisecond.
 const NONCE_BITS_PER_INCARNATION: u32 = 20;
 
-/// What becomes of a request under a limit.
+/// Says whether a request is admitted under a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SpendOutcome {
-    /// The request may go on.
+    /// The request may proceed.
     Admitted,
-    /// The limit is exceeded here; there should be room for the request after this time.
+    /// The limit is exceeded at this node. The request can probably be admitted after this time.
     Exceeded(Ticks),
 }
 
-/// One limit at this node, for operators.
+/// Describes one limit at this node, for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LimitStatus {
-    /// The limit.
+    /// Identifies the limit.
     pub limit: LimitId,
-    /// Requests that may be admitted now by allocations.
+    /// Holds the requests that may be admitted now against allocations.
     pub balance: u32,
-    /// Requests a second that the allocator expects to grant.
+    /// Holds the requests per second that the allocator expects to grant.
     pub expected_rate: f64,
-    /// Smoothed requests a second that arrive.
+    /// Holds the smoothed rate of arriving requests, per second.
     pub demand: f64,
-    /// The time since the last allocation was requested.
+    /// Holds the time since the last allocation was requested.
     pub allocation_age: Option<Ticks>,
-    /// Whether an allocator has answered recently.
+    /// Says whether an allocator has answered within the contact timeout.
     pub is_connected: bool,
-    /// Requests admitted so far.
+    /// Counts the requests admitted so far.
     pub admitted: u64,
-    /// Those of them admitted by the fallback rate.
+    /// Counts the admitted requests that were admitted by the fallback rate.
     pub admitted_by_fallback: u64,
-    /// Requests rejected so far.
+    /// Counts the requests rejected so far.
     pub rejected: u64,
 }
 
@@ -66,51 +68,53 @@
     shard: Shard,
 }
 
-/// An allocation with its remaining lifetime.
+/// Represents an allocation with its remaining lifetime.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AbstractAllocation {
-    /// The time until it expires.
+    /// Holds the time until the allocation expires.
     pub time_left: Ticks,
-    /// Requests that may still be admitted.
+    /// Holds the requests that may still be admitted.
     pub remaining: u32,
 }
 
-/// A request without a response.
+/// Represents a request that waits for a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AbstractRequest {
-    /// The request's number.
+    /// Holds the request's nonce.
     pub nonce: Nonce,
-    /// The time since it was sent, at most an allocation's lifetime.
+    /// Holds the time since the request was sent, at most an allocation's lifetime.
     pub age: Ticks,
 }
 
-/// What a client holds and waits for, with ages in place of times, by which a model checker tells states apart.
+/// Represents the allocations and pending requests of a client with ages instead of times, so that a model
+/// checker can compare states.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AbstractClient {
-    /// The usable allocations of each limit.
+    /// Holds the usable allocations of each limit.
     pub allocations: Vec<Vec<AbstractAllocation>>,
-    /// All requests without a response.
+    /// Holds all requests that wait for a response.
     pub pending: Vec<AbstractRequest>,
 }
 
-/// The balances of all limits at one node, and its requests for more.
+/// Holds the balances of all limits at one node, and the requests for more.
 #[derive(Clone, Debug)]
 pub struct QuotaClient {
     rules: Arc<QuotaRules>,
-    /// The nodes that may allocate.
+    /// Holds the nodes that may allocate.
     candidates: Vec<NodeId>,
     balances: BTreeMap<LimitId, LocalBalance>,
-    /// By shard.
+    /// Holds the contact with the allocator of each shard.
     contacts: Vec<ShardContact>,
     last_nonce: u64,
     pending: BTreeMap<Nonce, PendingRequest>,
-    /// Time does not run back: a thread that was paused calls with an earlier time than others.
+    /// Holds the latest time of any call, so that time does not run backwards if a thread that was paused
+    /// calls with an earlier one.
     latest_time: Timestamp,
 }
 
 impl QuotaClient {
-    /// A client without allocations. Its nonces differ from those of other incarnations, so that it takes no delayed response to
-    /// an earlier process of this node for its own.
+    /// Creates a client without allocations. Its nonces differ from those of other incarnations, so that it
+    /// does not accept a delayed response to an earlier process of this node.
     pub fn new(
         now: Timestamp,
         incarnation: Incarnation,
@@ -132,9 +136,9 @@
         }
     }
 
-    /// Admits or rejects one request under a limit. An unknown limit admits all.
+    /// Admits or rejects one request under a limit. All requests under an unknown limit are admitted.
     pub fn spend(&mut self, now: Timestamp, limit: LimitId) -> SpendOutcome {
-        let now = self.advance(now);
+        let now = self.advance_time(now);
         let shard = self.rules.shard_of(limit);
         let is_connected = self.is_connected(now, shard);
         let min_wait = self.request_interval();
@@ -160,9 +164,9 @@
         SpendOutcome::Exceeded(balance.reject(now, min_wait, rate))
     }
 
-    /// Sends the requests that are due.
+    /// Returns the requests that are due.
     pub fn tick(&mut self, now: Timestamp) -> TickResult<Message> {
-        let now = self.advance(now);
+        let now = self.advance_time(now);
         let mut outgoing = Vec::new();
         if self.candidates.is_empty() {
             return TickResult { outgoing, next_tick_at: now + self.rules.contact_timeout };
@@ -171,7 +175,7 @@
             let shard = Shard(index as u16);
             self.reset_fallback_if_connected(now, shard);
             if now >= self.contacts[index].next_request_at {
-                self.request_shard(now, shard, &mut outgoing);
+                self.request_allocations(now, shard, &mut outgoing);
             }
         }
         self.evict_pending(outgoing.len());
@@ -179,9 +183,9 @@
         TickResult { outgoing, next_tick_at }
     }
 
-    /// Handles the response of a candidate. One that answers no pending request is ignored.
+    /// Handles the response of a candidate. A response that belongs to no pending request is ignored.
     pub fn on_response(&mut self, now: Timestamp, from: NodeId, response: &Message) {
-        let now = self.advance(now);
+        let now = self.advance_time(now);
         let (Message::AllocationGrant { nonce, .. } | Message::Redirect { nonce, .. }) = response else {
             return;
         };
@@ -238,7 +242,12 @@
         self.reset_fallback_if_connected(now, shard);
     }
 
-    fn request_shard(&mut self, now: Timestamp, shard: Shard, outgoing: &mut Vec<OutgoingMessage<Message>>) {
+    fn request_allocations(
+        &mut self,
+        now: Timestamp,
+        shard: Shard,
+        outgoing: &mut Vec<OutgoingMessage<Message>>,
+    ) {
         let request_interval = self.request_interval();
         let heartbeat_interval = self.rules.contact_timeout.mul_f64(HEARTBEAT_INTERVAL_RATIO);
         let demands = self.collect_demands(now, shard);
@@ -254,7 +263,7 @@
             chunks.push(&[]);
         }
         for demands in chunks {
-            let nonce = self.begin_pending(now, shard);
+            let nonce = self.add_pending(now, shard);
             let message = Message::AllocationRequest { shard, nonce, demands: demands.to_vec() };
             outgoing.push(OutgoingMessage { to, message });
         }
@@ -281,7 +290,7 @@
         demands
     }
 
-    fn begin_pending(&mut self, now: Timestamp, shard: Shard) -> Nonce {
+    fn add_pending(&mut self, now: Timestamp, shard: Shard) -> Nonce {
         self.last_nonce += 1;
         let nonce = Nonce(self.last_nonce);
         self.pending.insert(nonce, PendingRequest { sent_at: now, shard });
@@ -294,7 +303,8 @@
         }
     }
 
-    /// Nothing of the fallback rate is saved while connected: it would be there at once whenever the contact breaks.
+    /// Resets the fallback balances of a shard while it is connected. Otherwise the saved requests could be
+    /// admitted at once whenever the contact is lost.
     fn reset_fallback_if_connected(&mut self, now: Timestamp, shard: Shard) {
         if !self.is_connected(now, shard) {
             return;
@@ -306,7 +316,7 @@
         }
     }
 
-    fn advance(&mut self, now: Timestamp) -> Timestamp {
+    fn advance_time(&mut self, now: Timestamp) -> Timestamp {
         self.latest_time = self.latest_time.max(now);
         self.latest_time
     }
@@ -323,7 +333,7 @@
         self.candidates.iter().position(|candidate| *candidate == node)
     }
 
-    /// What it holds and waits for, for a model checker.
+    /// Returns the allocations and pending requests in a form that a model checker can compare.
     pub fn abstract_client(&self, now: Timestamp) -> AbstractClient {
         let allocations = self.balances.values().map(|balance| {
             let usable = balance.usable_allocations(now);
@@ -341,7 +351,7 @@
         AbstractClient { allocations: allocations.collect(), pending: pending.collect() }
     }
 
-    /// All limits at this node.
+    /// Returns the status of each limit at this node.
     pub fn limit_statuses(&self, now: Timestamp) -> Vec<LimitStatus> {
         let status = |(&limit, balance): (&LimitId, &LocalBalance)| {
             balance.status(now, limit, self.is_connected(now, self.rules.shard_of(limit)))
--- a/crates/quotas/src/quota_client/local_balance.rs
+++ b/crates/quotas/src/quota_client/local_balance.rs
@@ -1,6 +1,6 @@
-//! What a node may admit of one limit, and what it needs of it.
+//! The requests that a node may admit under one limit, and its demand for more.
 //!
-//! Invariant: an allocation is used only before it expires.
+//! Invariant: an allocation is never used after it expires.
 
 use std::collections::VecDeque;
 
@@ -10,23 +10,25 @@
 use crate::quota_client::LimitStatus;
 use crate::rules::QuotaRules;
 
-/// How long a balance should last at the current demand, as a ratio of the contact timeout.
+/// Sets how long a balance should last at the current demand, as a ratio of the contact timeout.
 const BALANCE_HORIZON_RATIO: f64 = 0.25;
-/// A limit without a request for this many contact timeouts is idle: nothing is requested of it.
+/// Sets after how many contact timeouts without a request a limit is idle. Nothing is requested for an idle
+/// limit.
 const IDLE_TIMEOUT_FACTOR: f64 = 10.0;
-/// The smoothed demand decays by half in this many request intervals.
+/// Sets the half-life of the smoothed demand, in request intervals.
 const DEMAND_HALF_LIFE_INTERVALS: f64 = 3.0;
-/// With fewer requests than these in an allocation's lifetime, an allocation of one mostly expires unused.
-const MIN_USED_REQUESTS: f64 = 0.4;
-/// A limit is scarce where its expected rate is no more than this many times the demand.
+/// Sets the expected number of requests per allocation lifetime below which a single granted request mostly
+/// expires unused.
+const MIN_REQUESTS_PER_LIFETIME: f64 = 0.4;
+/// Sets the ratio of expected rate to demand up to which a limit counts as scarce.
 const SCARCITY_FACTOR: f64 = 1.2;
-/// Requests a second by which rejected requests are taken to come back at the least.
+/// Sets the lowest rate, in requests per second, at which rejected requests are assumed to be retried.
 const MIN_RETRY_RATE: f64 = 0.1;
 
 #[derive(Clone, Copy, Debug)]
 pub(super) struct UsableAllocation {
     pub(super) expires_at: Timestamp,
-    /// Requests that may still be admitted.
+    /// Holds the requests that may still be admitted.
     pub(super) remaining: u32,
 }
 
@@ -34,17 +36,18 @@
 pub(super) struct LocalBalance {
     allocations: VecDeque<UsableAllocation>,
     last_request_at: Option<Timestamp>,
-    /// Requests since the demand was updated last.
+    /// Counts the requests since the last update of the demand.
     arrivals: u32,
-    /// Smoothed requests a second that arrive.
+    /// Holds the smoothed rate of arriving requests, per second.
     demand: f64,
-    /// Requests a second, by the allocator.
+    /// Holds the rate that the allocator expects to grant, in requests per second.
     expected_rate: f64,
     allocation_requested_at: Option<Timestamp>,
-    /// Rejected requests that have not come back yet, by the rate at which there is room for them.
+    /// Estimates how many rejected requests have not been retried yet, from the rate at which they can be
+    /// admitted.
     deferred: f64,
     deferred_updated_at: Timestamp,
-    /// What was saved of the fallback rate while disconnected, in requests.
+    /// Holds the requests saved of the fallback rate while disconnected.
     fallback_balance: f64,
     fallback_updated_at: Timestamp,
     admitted: u64,
@@ -85,7 +88,7 @@
         self.allocations.retain(|allocation| allocation.remaining > 0 && now < allocation.expires_at);
     }
 
-    /// Adds what was granted for a request that was sent at `requested_at`.
+    /// Adds the grant for a request that was sent at `requested_at`.
     pub(super) fn add_allocation(
         &mut self,
         requested_at: Timestamp,
@@ -97,13 +100,14 @@
         self.allocation_requested_at = Some(requested_at);
     }
 
-    /// The requests that may still be admitted at `at`, if none are before.
+    /// Returns the requests that may be admitted at `at` if none is admitted before.
     fn balance_at(&self, at: Timestamp) -> u32 {
         let usable = self.allocations.iter().filter(|allocation| at < allocation.expires_at);
         usable.map(|allocation| allocation.remaining).sum()
     }
 
-    /// Admits a request by the allocation that expires first, after [`LocalBalance::drop_expired`].
+    /// Admits a request against the allocation that expires first. The caller must have called
+    /// [`LocalBalance::drop_expired`].
     pub(super) fn admit_by_allocation(&mut self) -> bool {
         let first = self.allocations.iter_mut().min_by_key(|allocation| allocation.expires_at);
         let Some(allocation) = first else { return false };
@@ -112,7 +116,7 @@
         true
     }
 
-    /// Admits a request by the fallback rate, of which at most `max_balance` requests are saved.
+    /// Admits a request against the fallback rate, of which at most `max_balance` requests are saved.
     pub(super) fn admit_by_fallback(&mut self, now: Timestamp, rate: f64, max_balance: f64) -> bool {
         let elapsed = (now - self.fallback_updated_at).as_secs_f64().max(0.0);
         self.fallback_balance = (self.fallback_balance + elapsed * rate).min(max_balance);
@@ -131,8 +135,8 @@
         self.fallback_updated_at = now;
     }
 
-    /// Rejects a request, and gives the time after which to retry it: rejected requests come back one after the other, at the
-    /// rate at which there is room for them.
+    /// Rejects a request, and returns the time after which to retry it. The retries of rejected requests are
+    /// spaced at the rate at which they can be admitted.
     pub(super) fn reject(&mut self, now: Timestamp, min_wait: Ticks, rate: f64) -> Ticks {
         self.rejected += 1;
         let rate = rate.max(MIN_RETRY_RATE);
@@ -146,12 +150,12 @@
         self.expected_rate
     }
 
-    /// The smoothed demand in requests a second.
+    /// Returns the smoothed demand in requests per second.
     pub(super) fn demand(&self) -> f64 {
         self.demand
     }
 
-    /// Updates the demand after `elapsed` seconds, and gives how many more requests to ask for.
+    /// Updates the demand after `elapsed` seconds, and returns how many more requests to ask for.
     pub(super) fn missing_requests(
         &mut self,
         now: Timestamp,
@@ -164,7 +168,8 @@
         target.saturating_sub(self.balance_at(now + request_interval))
     }
 
-    /// Gives the larger of the smoothed demand and the arrival rate since the last update, so that a rise is followed at once.
+    /// Returns the larger of the smoothed demand and the arrival rate since the last update, so that the
+    /// result rises at once with the arrivals.
     fn update_demand(&mut self, elapsed: f64, request_interval: Ticks) -> f64 {
         let arrival_rate = f64::from(std::mem::take(&mut self.arrivals)) / elapsed;
         let decay = 0.5_f64.powf(elapsed / (DEMAND_HALF_LIFE_INTERVALS * request_interval.as_secs_f64()));
@@ -175,8 +180,9 @@
     fn target_balance(&self, demand: f64, rules: &QuotaRules) -> u32 {
         let horizon = rules.contact_timeout.mul_f64(BALANCE_HORIZON_RATIO);
         let target = (demand * horizon.as_secs_f64()).ceil() as u32;
-        // One for the next request where few arrive, unless it would mostly expire here and other nodes lack it.
-        let mostly_expires = demand * rules.allocation_lifetime().as_secs_f64() < MIN_USED_REQUESTS;
+        // At least one request is kept for the next arrival, unless it would mostly expire here while other
+        // nodes need it.
+        let mostly_expires = demand * rules.allocation_lifetime().as_secs_f64() < MIN_REQUESTS_PER_LIFETIME;
         let is_scarce =
             self.allocation_requested_at.is_some() && self.expected_rate <= demand * SCARCITY_FACTOR;
         if mostly_expires && is_scarce { 0 } else { target.max(1) }
--- a/crates/quotas/src/quota_client/shard_contact.rs
+++ b/crates/quotas/src/quota_client/shard_contact.rs
@@ -2,18 +2,18 @@
 
 use doorproxy::ids::{Ticks, Timestamp};
 
-/// After this many requests without a response the next candidate is tried.
+/// Limits the requests without a response before the next candidate is tried.
 const MAX_UNANSWERED: u32 = 2;
 
 #[derive(Clone, Debug)]
 pub(super) struct ShardContact {
-    /// When the latest request that an allocator has answered was sent.
+    /// Holds when the latest request that an allocator has answered was sent.
     pub(super) last_contact: Option<Timestamp>,
     pub(super) next_request_at: Timestamp,
     pub(super) requested_at: Timestamp,
-    /// Requests since the last response.
+    /// Counts the requests since the last response.
     pub(super) unanswered: u32,
-    /// The index of the candidate to send requests to.
+    /// Holds the index of the candidate that receives the requests.
     pub(super) candidate: usize,
 }
 
@@ -26,12 +26,12 @@
         self.last_contact.is_some_and(|last_contact| now - last_contact < contact_timeout)
     }
 
-    /// Whether a request is due although there is no demand.
+    /// Returns whether a request is due although there is no demand.
     pub(super) fn is_heartbeat_due(&self, now: Timestamp, heartbeat_interval: Ticks) -> bool {
         self.last_contact.is_none() || now - self.requested_at >= heartbeat_interval
     }
 
-    /// Records a request that is sent now, to the next candidate where this one does not respond.
+    /// Records a request that is sent now. It goes to the next candidate if the current one does not respond.
     pub(super) fn begin_request(&mut self, now: Timestamp, request_interval: Ticks, candidate_count: usize) {
         if self.unanswered >= MAX_UNANSWERED {
             self.candidate = (self.candidate + 1) % candidate_count;
--- a/crates/quotas/tests/model.rs
+++ b/crates/quotas/tests/model.rs
@@ -1,6 +1,7 @@
-//! Explores all interleavings of two clients of one limit up to a bounded depth: requests and responses that are lost or late,
-//! an allocator that is succeeded by another, a client that restarts while responses to its last process are under way. No
-//! more requests are admitted than the bound says, and each mutant, which lacks one rule, violates that.
+//! Explores the interleavings of two clients of one limit up to a bounded depth: requests and responses are
+//! lost or late, a second allocator succeeds the first, and a client restarts while responses to its last
+//! process are in flight. The admitted requests must stay within the overshoot bound. Each mutant lacks one
+//! rule and must exceed the bound.
 
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
@@ -18,20 +19,20 @@
 
 const STEP: Ticks = Ticks(5_000);
 const LIMIT: LimitId = LimitId(0);
-/// The first allocator and its successor.
+/// Identifies the first allocator and its successor.
 const ALLOCATORS: [NodeId; 2] = [NodeId(1), NodeId(2)];
 
-/// Which rule is left out.
+/// Says which rule is left out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mutant {
     None,
     /// An allocator starts with a full bucket.
     StartsFull,
-    /// The first allocator goes on after the second has started.
+    /// The first allocator continues after the second has started.
     AllocatesWithoutLease,
-    /// An allocation's age counts from when it arrives.
+    /// The age of an allocation counts from its arrival.
     CountsFromResponse,
-    /// The nonces of a restarted client start where those of its last process did.
+    /// A restarted client starts with the same nonces as its last process.
     ReusesNonces,
 }
 
@@ -56,13 +57,14 @@
     allocators: [Option<QuotaAllocator>; 2],
     requests: Vec<SentRequest>,
     responses: Vec<SentResponse>,
-    /// How far the admitted requests are ahead of the rate, in hundredths of a request.
-    ahead_of_rate: i64,
+    /// Counts the admitted requests above the rate, in hundredths of a request.
+    excess_over_rate: i64,
     request_count: usize,
 }
 
 impl ClusterState {
-    /// What tells states apart: demands are always the same, and times count by their age.
+    /// Describes the state so that equivalent states compare equal: demands are always the same, and times
+    /// are replaced by ages.
     fn abstract_state(&self) -> String {
         let balance = |allocator: &Option<QuotaAllocator>| {
             let buckets = allocator.as_ref().map(|allocator| allocator.bucket_statuses(self.now, &rules()));
@@ -80,7 +82,7 @@
             self.incarnations,
             self.requests,
             self.responses,
-            self.ahead_of_rate,
+            self.excess_over_rate,
             self.request_count
         )
     }
@@ -105,12 +107,13 @@
 enum Step {
     AdvanceTime,
     SendRequest(usize),
-    /// The request with this index reaches that allocator, which sends its response; one that is never delivered is lost.
+    /// The request with the first index reaches the allocator with the second, which sends its response. A
+    /// request or response that is never delivered is lost.
     DeliverRequest(usize, usize),
     DeliverResponse(usize),
-    /// A request arrives at the client.
+    /// A client's request is admitted or rejected.
     Spend(usize),
-    /// The second allocator acquires the lease, after the first has lost it.
+    /// The second allocator acquires the lease after the first has lost it.
     HandOver,
     /// The client's process restarts.
     RestartClient(usize),
@@ -118,7 +121,7 @@
 
 struct TwoClients {
     mutant: Mutant,
-    /// Requests of both clients in all.
+    /// Limits the total number of requests of both clients.
     max_requests: usize,
     may_restart: bool,
     may_hand_over: bool,
@@ -161,7 +164,7 @@
 
     fn deliver_response(&self, state: &mut ClusterState, index: usize) {
         let SentResponse { client, from, mut message } = state.responses.remove(index);
-        // Of the mutant: as if the allocation had been requested just now.
+        // The mutant treats the allocation as if it had been requested just now.
         if self.mutant == Mutant::CountsFromResponse
             && let Message::AllocationGrant { nonce, .. } = &mut message
             && let requests = state.clients[client].tick(state.now + Ticks(2_000)).outgoing
@@ -194,7 +197,7 @@
             if state.clients[client].limit_statuses(state.now)[0].balance > 0 {
                 successors.add(Step::Spend(client), |state| {
                     if state.clients[client].spend(state.now, LIMIT) == SpendOutcome::Admitted {
-                        state.ahead_of_rate += 100;
+                        state.excess_over_rate += 100;
                     }
                 });
             }
@@ -243,7 +246,7 @@
     fn initial_states(&self) -> Vec<ClusterState> {
         let now = Timestamp(1_000_000);
         let mut clients = vec![self.new_client(now, 1), self.new_client(now, 1)];
-        // A request was rejected at both a moment ago, so both have demand.
+        // Both clients rejected a request a moment ago, so both have demand.
         for client in &mut clients {
             client.spend(now, LIMIT);
         }
@@ -251,11 +254,11 @@
             now,
             clients,
             incarnations: [1; 2],
-            // It started so long ago that its bucket is full.
+            // The allocator started so long ago that its bucket is full.
             allocators: [Some(QuotaAllocator::new(now - Ticks(20_000))), None],
             requests: Vec::new(),
             responses: Vec::new(),
-            ahead_of_rate: 0,
+            excess_over_rate: 0,
             request_count: 0,
         }]
     }
@@ -265,7 +268,7 @@
         successors.add(Step::AdvanceTime, |state| {
             state.now = state.now + STEP;
             let allowed = (STEP.as_secs_f64() * rules().limits[&LIMIT].rate * 100.0) as i64;
-            state.ahead_of_rate = (state.ahead_of_rate - allowed).max(0);
+            state.excess_over_rate = (state.excess_over_rate - allowed).max(0);
         });
         self.client_steps(&mut successors, state);
         self.delivery_steps(&mut successors, state);
@@ -276,10 +279,10 @@
     fn check_invariant(&self, state: &ClusterState) -> Result<(), String> {
         let rules = rules();
         let max_burst = rules.overshoot_bound(&rules.limits[&LIMIT], 0).burst;
-        let is_within = state.ahead_of_rate as f64 <= max_burst * 100.0;
+        let is_within = state.excess_over_rate as f64 <= max_burst * 100.0;
         is_within
             .then_some(())
-            .ok_or_else(|| format!("{} hundredths of a request ahead of the rate", state.ahead_of_rate))
+            .ok_or_else(|| format!("{} hundredths of a request above the rate", state.excess_over_rate))
     }
 }
 
@@ -310,9 +313,10 @@
     .assert_eq(&report);
 }
 
-/// Every rule is needed for the bound. That a repeated request is granted nothing is none of them: it only saves requests.
+/// The bound needs each of these rules. The rule that a repeated request is granted nothing is not among
+/// them, since it only saves requests.
 #[test]
-fn every_mutant_is_found() {
+fn each_mutant_exceeds_the_bound() {
     let cases = [
         TwoClients { mutant: Mutant::StartsFull, max_requests: 4, may_restart: false, may_hand_over: true },
         TwoClients {
@@ -334,7 +338,7 @@
         .map(|case| format!("{:?}: {}", case.mutant, format_exploration(explore(case, 24, MAX_STATES))))
         .collect();
     expect![[r#"
-        StartsFull: 250 hundredths of a request ahead of the rate:
+        StartsFull: 250 hundredths of a request above the rate:
           SendRequest(0)
           SendRequest(1)
           DeliverRequest(0, 0)
@@ -350,7 +354,7 @@
           DeliverRequest(0, 1)
           DeliverResponse(0)
           Spend(1)
-        AllocatesWithoutLease: 250 hundredths of a request ahead of the rate:
+        AllocatesWithoutLease: 250 hundredths of a request above the rate:
           SendRequest(0)
           DeliverRequest(0, 0)
           DeliverResponse(0)
@@ -366,7 +370,7 @@
           Spend(0)
           DeliverResponse(0)
           Spend(1)
-        CountsFromResponse: 250 hundredths of a request ahead of the rate:
+        CountsFromResponse: 250 hundredths of a request above the rate:
           SendRequest(0)
           DeliverRequest(0, 0)
           AdvanceTime
@@ -383,7 +387,7 @@
           Spend(0)
           DeliverResponse(0)
           Spend(0)
-        ReusesNonces: 250 hundredths of a request ahead of the rate:
+        ReusesNonces: 250 hundredths of a request above the rate:
           SendRequest(0)
           DeliverRequest(0, 0)
           AdvanceTime
--- a/crates/quotas/tests/simulated.rs
+++ b/crates/quotas/tests/simulated.rs
@@ -1,6 +1,7 @@
-//! Seeded runs of whole fleets on a virtual clock: loss, delays of up to half a minute, duplication, partitions, paused and
-//! restarted processes, all acceptors lost at once, clocks that drift by no more than the rules state, and requests that arrive
-//! unevenly. No more are admitted in any window than the bound says, and after the faults nearly all of a limit is used.
+//! Seeded simulations of whole fleets on a virtual clock. Faults are loss, delays of up to half a minute,
+//! duplication, partitions, paused and restarted processes, the loss of all acceptors at once, and clocks
+//! that drift within the rules; requests arrive unevenly. No window may exceed the overshoot bound, and
+//! nearly all of each limit must be used after the faults.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -55,7 +56,7 @@
     lease_rules: leases::LeaseRules,
     nodes: Vec<SimulatedNode>,
     cut_links: BTreeSet<(usize, usize)>,
-    /// By limit: true times at which requests were admitted.
+    /// Holds the true times at which requests were admitted, by limit.
     admitted_at: BTreeMap<LimitId, Vec<i64>>,
     skew: f64,
 }
@@ -166,15 +167,15 @@
         let result = node.node.tick(now);
         let wait = ((result.next_tick_at - now).0 as f64 / node.clock_rate) as i64 + 1;
         self.send(index, result.outgoing);
-        // The network thread wakes up at these intervals.
+        // The network thread wakes up after an interval in this range.
         self.schedule(wait.clamp(10, 500), Event::Tick(index));
     }
 
     fn request_arrives(&mut self) {
-        // Half as many again as the limits allow, most of them at few nodes.
+        // Requests arrive at one and a half times the rate of the limits, most of them at few nodes.
         let wait = (-(1.0 - self.rng.next_f64()).ln() / 360.0 * SECOND as f64) as i64;
         self.schedule(wait.max(1), Event::RequestArrives);
-        // A surge uses all balances at once.
+        // A surge uses up all balances at once.
         let is_surge = self.now < FAULTS_END && self.rng.next_f64() < 0.002;
         for _ in 0..if is_surge { 600 } else { 1 } {
             let unit = self.rng.next_f64().powf(if is_surge { 1.0 } else { 1.0 + 4.0 * self.skew });
@@ -223,12 +224,12 @@
         }
     }
 
-    /// Cuts the links between two sides, in one direction or both.
+    /// Cuts the links between two sides, in one or both directions.
     fn partition(&mut self, duration: i64) {
         let node_count = self.nodes.len();
         let side: Vec<bool> = (0..node_count).map(|_| self.rng.next_f64() < 0.4).collect();
-        let cuts_both = self.rng.next_f64() < 0.7;
-        let is_cut = |a: usize, b: usize| side[a] && !side[b] || cuts_both && side[b] && !side[a];
+        let is_symmetric = self.rng.next_f64() < 0.7;
+        let is_cut = |a: usize, b: usize| side[a] && !side[b] || is_symmetric && side[b] && !side[a];
         let pairs = (0..node_count).flat_map(|a| (0..node_count).map(move |b| (a, b)));
         let cut: BTreeSet<(usize, usize)> = pairs.filter(|&(a, b)| is_cut(a, b)).collect();
         self.cut_links.extend(cut.iter().copied());
@@ -260,20 +261,20 @@
         }
     }
 
-    /// The largest number of requests by which any window after `from` is ahead of this rate.
-    fn max_ahead_of_rate(&self, limit: LimitId, rate: f64, from: i64) -> f64 {
-        let mut ahead = 0.0_f64;
-        let mut max_ahead = 0.0_f64;
+    /// Returns the largest number of requests by which any window after `from` exceeds this rate.
+    fn max_excess_over_rate(&self, limit: LimitId, rate: f64, from: i64) -> f64 {
+        let mut excess = 0.0_f64;
+        let mut max_excess = 0.0_f64;
         let mut last = from;
         for &at in self.admitted_at.get(&limit).into_iter().flatten().filter(|at| **at >= from) {
-            ahead = (ahead - (at - last) as f64 / SECOND as f64 * rate).max(0.0) + 1.0;
-            max_ahead = max_ahead.max(ahead);
+            excess = (excess - (at - last) as f64 / SECOND as f64 * rate).max(0.0) + 1.0;
+            max_excess = max_excess.max(excess);
             last = at;
         }
-        max_ahead
+        max_excess
     }
 
-    /// The ratio of a limit that is used after the faults.
+    /// Returns the ratio of a limit that is used after the faults.
     fn used_ratio(&self, limit: LimitId) -> f64 {
         let from = FAULTS_END + 15 * SECOND;
         let count = self.admitted_at[&limit].iter().filter(|at| **at >= from).count();
@@ -281,12 +282,12 @@
     }
 }
 
-/// What one or more seeds have shown.
+/// Holds the results of one or more seeds.
 struct SeedReport {
     violations: Vec<String>,
-    /// The largest ratio of an overshoot to its bound.
+    /// Holds the largest ratio of an overshoot to its bound.
     max_overshoot_ratio: f64,
-    /// The smallest ratio of a limit that was used after the faults.
+    /// Holds the smallest ratio of a limit that was used after the faults.
     min_used_ratio: f64,
 }
 
@@ -309,25 +310,28 @@
     let mut report = SeedReport::new();
     let rules = fleet.rules.clone();
     for (&id, limit) in &rules.limits {
-        // During the faults any node may be disconnected, after them none is.
+        // Any node may be disconnected during the faults, and none is after them.
         let disconnected = if limit.fallback_rate.is_some() { fleet.nodes.len() as u32 } else { 0 };
         let windows = [("in any window", disconnected, 0), ("after the faults", 0, FAULTS_END + 10 * SECOND)];
         for (window, disconnected, from) in windows {
             let bound = rules.overshoot_bound(limit, disconnected);
-            let ahead = fleet.max_ahead_of_rate(id, limit.rate + bound.excess_rate, from);
-            if ahead > bound.burst {
+            let excess = fleet.max_excess_over_rate(id, limit.rate + bound.excess_rate, from);
+            if excess > bound.burst {
                 let name = &limit.name;
-                report
-                    .violations
-                    .push(format!("{name} {window}: {ahead:.1} ahead, bound {:.1}", bound.burst));
+                report.violations.push(format!(
+                    "{name} {window}: {excess:.1} requests above the rate, bound {:.1}",
+                    bound.burst
+                ));
             }
-            report.max_overshoot_ratio = report.max_overshoot_ratio.max(ahead / bound.burst);
+            report.max_overshoot_ratio = report.max_overshoot_ratio.max(excess / bound.burst);
         }
         let used_ratio = fleet.used_ratio(id);
         report.min_used_ratio = report.min_used_ratio.min(used_ratio);
         if used_ratio < 0.9 {
             let percent = used_ratio * 100.0;
-            report.violations.push(format!("{}: {percent:.0} % of it is used after the faults", limit.name));
+            report
+                .violations
+                .push(format!("{}: {percent:.0} % of the limit is used after the faults", limit.name));
         }
     }
     report
@@ -336,7 +340,7 @@
 fn run_seeds(seeds: std::ops::Range<u64>, drift: f64) -> SeedReport {
     let next_seed = AtomicU64::new(seeds.start);
     let total = Mutex::new(SeedReport::new());
-    let run_some = || {
+    let run_next_seeds = || {
         loop {
             let seed = next_seed.fetch_add(1, Ordering::Relaxed);
             if seed >= seeds.end {
@@ -348,23 +352,24 @@
     };
     std::thread::scope(|scope| {
         for _ in 0..8 {
-            scope.spawn(run_some);
+            scope.spawn(run_next_seeds);
         }
     });
     total.into_inner().unwrap()
 }
 
 #[test]
-fn no_seed_exceeds_the_bound_and_quiet_periods_use_the_limit() {
-    // More by hand: SEEDS=20000 cargo test --release -p doorproxy-quotas --test simulated -- --nocapture
+fn bound_holds_and_limits_are_used_after_faults() {
+    // For a longer run: SEEDS=20000 cargo test --release -p doorproxy-quotas --test simulated -- --nocapture
     let seeds = std::env::var("SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(60);
     for drift in [0.0, 0.05] {
         let SeedReport { violations, max_overshoot_ratio, min_used_ratio } = run_seeds(0..seeds, drift);
         println!(
-            "drift {drift}: overshoot up to {max_overshoot_ratio:.2} of the bound, {min_used_ratio:.3} used"
+            "drift {drift}: overshoot at most {max_overshoot_ratio:.2} of the bound, \
+             at least {min_used_ratio:.3} of each limit used"
         );
         assert!(violations.is_empty(), "drift {drift}: {violations:#?}");
-        // A bound that is never approached says nothing.
+        // If no run comes close to the bound, the test shows nothing about it.
         assert!(max_overshoot_ratio > 0.4, "drift {drift}: at most {max_overshoot_ratio:.2} of the bound");
     }
 }
--- a/crates/quotas/tests/wire_format.rs
+++ b/crates/quotas/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! The bytes of the messages about limits of the whole fleet, and the numbers that all balancers derive from
-//! a limit's name alike. Every field has a value of its own, so that two swapped fields or variants show.
+//! Pins the encoding of quota messages and the ids and shards that all balancers derive from a limit's name.
+//! Every field has a distinct value, so that the test detects swapped fields or variants.
 
 use std::collections::BTreeMap;
 
@@ -13,17 +13,21 @@
 #[path = "../../../tests/common/wire.rs"]
 mod wire;
 
-/// The kinds in their order on the wire, and what may be absent in them.
+/// Names a message by its variant's position on the wire and by which optional parts are absent.
 fn label(message: &Envelope) -> &'static str {
     match &message.message {
-        Message::Lease(leases::Message::Prepare { .. }) => "0 lease message, the first kind",
+        Message::Lease(leases::Message::Prepare { .. }) => "0 lease message, first kind",
         Message::Lease(_) => "0 lease message, another kind",
-        Message::AllocationRequest { demands, .. } if demands.is_empty() => "1 request for nothing",
-        Message::AllocationRequest { .. } => "1 request",
-        Message::AllocationGrant { allocations, .. } if allocations.is_empty() => "2 allocation of nothing",
-        Message::AllocationGrant { .. } => "2 allocation",
-        Message::Redirect { allocator: None, .. } => "3 redirection to nobody",
-        Message::Redirect { allocator: Some(_), .. } => "3 redirection",
+        Message::AllocationRequest { demands, .. } if demands.is_empty() => {
+            "1 allocation request without demands"
+        }
+        Message::AllocationRequest { .. } => "1 allocation request",
+        Message::AllocationGrant { allocations, .. } if allocations.is_empty() => {
+            "2 allocation grant without allocations"
+        }
+        Message::AllocationGrant { .. } => "2 allocation grant",
+        Message::Redirect { allocator: None, .. } => "3 redirect without an allocator",
+        Message::Redirect { allocator: Some(_), .. } => "3 redirect",
     }
 }
 
@@ -32,7 +36,7 @@
 }
 
 #[test]
-fn each_kind_of_message_keeps_its_bytes() {
+fn each_message_kind_keeps_its_encoding() {
     let (lease, ballot) = (LeaseId(0x21), Ballot { round: 0x22, proposer: 0x23, incarnation: 0x24 });
     let (shard, nonce) = (Shard(0x31), Nonce(0x32));
     let demands = vec![
@@ -58,21 +62,21 @@
         &messages,
         label,
         expect![[r#"
-        0 lease message, the first kind: 1112000021222324
+        0 lease message, first kind: 1112000021222324
         0 lease message, another kind: 1112000521222324
-        1 request for nothing: 111201313200
-        1 request: 111201313202333435363738
-        2 allocation of nothing: 1112023200
-        2 allocation: 1112023202414243444546
-        3 redirection to nobody: 1112033200
-        3 redirection: 111203320147
+        1 allocation request without demands: 111201313200
+        1 allocation request: 111201313202333435363738
+        2 allocation grant without allocations: 1112023200
+        2 allocation grant: 1112023202414243444546
+        3 redirect without an allocator: 1112033200
+        3 redirect: 111203320147
     "#]],
     );
 }
 
-/// Widths show where a number takes all the bytes that its type has.
+/// The largest values need every byte of their type, so they pin the width of each field.
 #[test]
-fn the_largest_numbers_keep_their_bytes() {
+fn largest_values_keep_their_encoding() {
     let nonce = Nonce(u64::MAX);
     let demand =
         Demand { limit: LimitId(u64::MAX - 1), requested: u32::MAX, arrival_rate_tenths: u32::MAX - 1 };
@@ -87,15 +91,16 @@
         &messages,
         label,
         expect![[r#"
-        1 request: 111201ffff03ffffffffffffffffff0101feffffffffffffffff01ffffffff0ffeffffff0f
-        2 allocation: 111202ffffffffffffffffff0101feffffffffffffffff01ffffffff0ffeffffff0f
+        1 allocation request: 111201ffff03ffffffffffffffffff0101feffffffffffffffff01ffffffff0ffeffffff0f
+        2 allocation grant: 111202ffffffffffffffffff0101feffffffffffffffff01ffffffff0ffeffffff0f
     "#]],
     );
 }
 
-/// Requests go to whoever allocates the shard that the asker finds here.
+/// A client sends its requests to the node that allocates the shard derived here, so all builds must derive
+/// the same ids and shards.
 #[test]
-fn a_limit_has_the_same_number_and_shard_everywhere() {
+fn limit_ids_and_shards_derived_from_names_are_stable() {
     let rules = |shards| QuotaRules {
         limits: BTreeMap::new(),
         shard_count: shards,
