--- a/crates/recovery/src/age.rs
+++ b/crates/recovery/src/age.rs
@@ -1,7 +1,7 @@
 //! Clock readings that can be persisted, and the age of a fact between two of them.
 //!
-//! An age never comes out shorter than it is without being marked as uncertain: a wall clock may be set, and differs from one
-//! machine to the next.
+//! An age that may be too short is always marked as uncertain, because a wall clock can be set and differs
+//! between machines.
 
 use std::fmt;
 
@@ -9,37 +9,38 @@
 use serde::{Deserialize, Serialize};
 
 const TICKS_PER_MS: i64 = 10;
-/// The longest span of time that fits into [`Ticks`], in milliseconds.
+/// Limits a span of time to what fits into [`Ticks`], in milliseconds.
 const MAX_SPAN_MS: i64 = i64::MAX / TICKS_PER_MS;
 
-/// A point in time by the two clocks of a machine: the wall clock, and the time since it booted, sleep included.
+/// Represents a point in time by the two clocks of a machine: the wall clock, and the time since boot
+/// including sleep.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClockReading {
-    /// Unix time in milliseconds.
+    /// Holds the Unix time in milliseconds.
     pub wall_ms: u64,
-    /// Identifies the boot of the machine; empty where it is unknown.
+    /// Identifies the boot of the machine. It is empty if the boot is unknown.
     pub boot_id: String,
-    /// Milliseconds since the machine booted.
+    /// Holds the milliseconds since the machine booted.
     pub since_boot_ms: u64,
 }
 
-/// The age of a fact.
+/// Describes the age of a fact, and how certain it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Age {
-    /// Measured by a clock that never jumps.
+    /// The age was measured by a monotonic clock.
     Monotonic(Ticks),
-    /// Measured by the wall clock alone. The clock may have been set, so the fact may be older.
+    /// The age was measured only by the wall clock, which may have been set, so the fact may be older.
     WallClock(Ticks),
-    /// Unknown, since a clock ran back.
+    /// The age is unknown, because a clock ran backwards.
     Unknown,
 }
 
 impl Age {
-    /// The age at `now` of a fact of time `then`.
+    /// Returns the age at `now` of a fact from `then`.
     pub fn between(then: &ClockReading, now: &ClockReading) -> Age {
         let is_same_boot = !now.boot_id.is_empty() && then.boot_id == now.boot_id;
         if is_same_boot {
-            // Where the time since the boot ran back it is not what it claims, and the wall clock is no better.
+            // If the time since boot ran backwards within one boot, neither clock can be trusted.
             let elapsed_ms = now.since_boot_ms.checked_sub(then.since_boot_ms);
             return elapsed_ms.map_or(Age::Unknown, |elapsed_ms| Age::Monotonic(ticks_from_ms(elapsed_ms)));
         }
@@ -47,7 +48,7 @@
         elapsed_ms.map_or(Age::Unknown, |elapsed_ms| Age::WallClock(ticks_from_ms(elapsed_ms)))
     }
 
-    /// A bound that the true age does not exceed. `None` where no such bound is certain.
+    /// Returns a bound that the true age does not exceed, or `None` if no such bound is certain.
     pub fn upper_bound(self) -> Option<Ticks> {
         match self {
             Age::Monotonic(age) => Some(age),
--- a/crates/recovery/src/age/tests.rs
+++ b/crates/recovery/src/age/tests.rs
@@ -4,7 +4,8 @@
     ClockReading { wall_ms, boot_id: boot_id.to_string(), since_boot_ms }
 }
 
-/// A wall clock that is set back must not make an old list look young, nor one that is set ahead make a young list useless.
+/// A wall clock that is set back must not make an old list look new, and one that is set ahead must not make
+/// a new list useless.
 #[test]
 fn a_wall_clock_jump_does_not_change_ages_within_one_boot() {
     let persisted = reading(1_000_000, "a", 5_000);
--- a/crates/recovery/src/disk.rs
+++ b/crates/recovery/src/disk.rs
@@ -4,46 +4,46 @@
 use std::io::{self, Read, Write};
 use std::path::Path;
 
-/// The calls that a state directory makes, so that a test can fail each of them.
+/// Declares the file system calls of a state directory, so that a test can make each of them fail.
 pub trait Disk {
-    /// Reads at most `max_bytes` of a file. `None` where there is no such file.
+    /// Reads at most `max_bytes` of a file. Returns `None` if the file does not exist.
     ///
     /// # Errors
-    /// Where the file can't be opened or read.
+    /// Returns an error if the file cannot be opened or read.
     fn read(&mut self, path: &Path, max_bytes: usize) -> io::Result<Option<Vec<u8>>>;
 
-    /// Creates or overwrites a file. The bytes may be lost in a crash until [`Disk::sync`] has returned.
+    /// Creates or overwrites a file. Its bytes may be lost in a crash until [`Disk::sync`] has returned.
     ///
     /// # Errors
-    /// Where the file can't be written; part of the bytes may be in it then.
+    /// Returns an error if the file cannot be written. It may then contain part of the bytes.
     fn write(&mut self, path: &Path, bytes: &[u8]) -> io::Result<()>;
 
-    /// Makes a file's bytes survive a crash.
+    /// Syncs a file, so that its bytes survive a crash.
     ///
     /// # Errors
-    /// Where the file can't be synced.
+    /// Returns an error if the file cannot be synced.
     fn sync(&mut self, path: &Path) -> io::Result<()>;
 
-    /// Renames a file, replacing the one that has the new name.
+    /// Renames a file. A file that already has the new name is replaced.
     ///
     /// # Errors
-    /// Where the file can't be renamed.
+    /// Returns an error if the file cannot be renamed.
     fn rename(&mut self, from: &Path, to: &Path) -> io::Result<()>;
 
-    /// Makes the entries of a directory survive a crash.
+    /// Syncs a directory, so that its entries survive a crash.
     ///
     /// # Errors
-    /// Where the directory can't be synced.
+    /// Returns an error if the directory cannot be synced.
     fn sync_directory(&mut self, path: &Path) -> io::Result<()>;
 
     /// Removes a file.
     ///
     /// # Errors
-    /// Where the file can't be removed, or does not exist.
+    /// Returns an error if the file cannot be removed or does not exist.
     fn remove(&mut self, path: &Path) -> io::Result<()>;
 }
 
-/// The file system of the machine.
+/// Accesses the file system of the machine.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LocalDisk;
 
--- a/crates/recovery/src/stage.rs
+++ b/crates/recovery/src/stage.rs
@@ -2,23 +2,24 @@
 
 use std::fmt;
 
-/// How far a process has come, from knowing nothing to full operation. Later stages compare as greater.
+/// Describes how far a process has started, from knowing nothing to full operation. Later stages compare as
+/// greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StartupStage {
-    /// It knows no endpoint.
+    /// The process knows no endpoint.
     Nothing,
-    /// It has an endpoint list that neither discovery nor the endpoints' own answers have confirmed.
+    /// The process has an endpoint list that neither discovery nor responses of the endpoints have confirmed.
     Doubtful,
-    /// The list is confirmed, and no endpoint has answered yet.
+    /// The list is confirmed, but no endpoint has answered yet.
     Listed,
-    /// Endpoints answer; the service times of most are not known yet.
+    /// Endpoints have answered, but the service times of most are not known yet.
     Learning,
-    /// Most endpoints have answered, and often enough for known service times.
+    /// Most endpoints have answered, and there are enough answers to know the service times.
     Full,
 }
 
 impl StartupStage {
-    /// The stage's name in logs and metrics.
+    /// Returns the stage's name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             StartupStage::Nothing => "nothing",
--- a/crates/recovery/src/startup_status.rs
+++ b/crates/recovery/src/startup_status.rs
@@ -1,7 +1,7 @@
-//! The startup status of a process: which stage it has reached, when, and why.
+//! The startup status of a process: the stage that it has reached, when it reached it, and why.
 //!
-//! It observes and decides nothing about requests. An endpoint list counts as confirmed only by discovery or by the
-//! endpoints' own answers, never because a file holds it.
+//! The status only observes, and decides nothing about requests. Only discovery or responses of the endpoints
+//! confirm an endpoint list; a list from a file is never confirmed by itself.
 
 use std::collections::VecDeque;
 
@@ -11,42 +11,42 @@
 pub use crate::stage::StartupStage;
 use crate::validity::FactSource;
 
-/// What this process has seen, since it started, of the endpoints that it may use.
+/// Counts the usable endpoints, and their answers since this process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Evidence {
-    /// Endpoints that may be used.
+    /// Counts the endpoints that may be used.
     pub ready_endpoints: usize,
-    /// How many of these have answered.
+    /// Counts those that have answered.
     pub answered_endpoints: usize,
-    /// Answers of all of them.
+    /// Counts the answers of all of them.
     pub answer_count: usize,
 }
 
 impl Evidence {
-    fn have_most_answered(&self) -> bool {
+    fn most_have_answered(&self) -> bool {
         self.ready_endpoints > 0 && self.answered_endpoints * 2 >= self.ready_endpoints
     }
 }
 
-/// Fewer answers than this say too little about the service times of a group.
+/// Sets the answers needed for full operation. Fewer say too little about the service times of a group.
 const MIN_ANSWERS_FOR_FULL: usize = 16;
-/// How many stage changes are kept. A list that appears and disappears may cause any number.
+/// Limits the stage changes that are kept. A list that appears and disappears can cause any number.
 const MAX_STAGE_CHANGES: usize = 64;
 
-/// One change of stage.
+/// Describes one change of stage.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StageChange {
-    /// When it changed.
+    /// Holds the time of the change.
     pub at: Timestamp,
-    /// The stage before.
+    /// Holds the stage before the change.
     pub from: StartupStage,
-    /// The stage after.
+    /// Holds the stage after the change.
     pub to: StartupStage,
-    /// Why it changed, for the log.
+    /// Explains the change in the log and the recovery status.
     pub cause: String,
 }
 
-/// The stage of one process, with what it follows from.
+/// Holds the stage of one process, and the observations from which it follows.
 #[derive(Debug)]
 pub struct StartupStatus {
     started_at: Timestamp,
@@ -54,7 +54,7 @@
     source: Option<FactSource>,
     age: Option<Age>,
     endpoint_count: usize,
-    /// Whether discovery has answered since the start.
+    /// Says whether discovery has answered since the start.
     has_discovery_answer: bool,
     discovery_failures: u32,
     evidence: Evidence,
@@ -62,7 +62,7 @@
 }
 
 impl StartupStatus {
-    /// The status of a process that starts now.
+    /// Creates the status of a process that starts at `now`.
     pub fn new(now: Timestamp) -> StartupStatus {
         StartupStatus {
             started_at: now,
@@ -77,42 +77,42 @@
         }
     }
 
-    /// The present stage.
+    /// Returns the current stage.
     pub fn stage(&self) -> StartupStage {
         self.stage
     }
 
-    /// When the process started.
+    /// Returns the time at which the process started.
     pub fn started_at(&self) -> Timestamp {
         self.started_at
     }
 
-    /// Where the endpoint list in use came from.
+    /// Returns the source of the endpoint list in use.
     pub fn source(&self) -> Option<FactSource> {
         self.source
     }
 
-    /// How old the endpoint list was when the process started. `None` once discovery has answered.
+    /// Returns the age of the endpoint list when the process started, or `None` once discovery has answered.
     pub fn age(&self) -> Option<Age> {
         self.age
     }
 
-    /// How many endpoints are listed.
+    /// Returns the number of listed endpoints.
     pub fn endpoint_count(&self) -> usize {
         self.endpoint_count
     }
 
-    /// Calls to discovery that failed since the last success.
+    /// Returns the number of calls to discovery that have failed since the last success.
     pub fn discovery_failures(&self) -> u32 {
         self.discovery_failures
     }
 
-    /// What was reported to [`StartupStatus::on_evidence`] last.
+    /// Returns the evidence that was last reported to [`StartupStatus::on_evidence`].
     pub fn evidence(&self) -> Evidence {
         self.evidence
     }
 
-    /// The changes of stage, the oldest first. Of many, the first and the last ones are kept.
+    /// Returns the changes of stage, the oldest first. Only the first and the last ones of many are kept.
     pub fn changes(&self) -> impl Iterator<Item = &StageChange> {
         self.changes.iter()
     }
@@ -122,7 +122,7 @@
             return None;
         }
         if self.changes.len() >= MAX_STAGE_CHANGES {
-            // The first changes show how the process recovered, and the last ones its present state.
+            // The first changes show how the process recovered, and the last ones its current state.
             self.changes.remove(MAX_STAGE_CHANGES / 2);
         }
         self.changes.push_back(StageChange { at: now, from: self.stage, to, cause });
@@ -130,7 +130,8 @@
         self.changes.back()
     }
 
-    /// The process begins with a list from its configuration or its state directory. Returns the change of stage, if any.
+    /// Records the endpoint list from the configuration or the state directory with which the process starts.
+    /// Returns the change of stage, if any.
     pub fn on_initial_list(
         &mut self,
         now: Timestamp,
@@ -145,53 +146,55 @@
             return None;
         }
         let origin = match source {
-            FactSource::StateDirectory => "its folder",
-            _ => "its configuration",
+            FactSource::StateDirectory => "the state directory",
+            _ => "the configuration",
         };
-        let cause = format!("{endpoint_count} servers are known from {origin}, {age}");
+        let cause = format!("{origin} lists {endpoint_count} endpoints; the list is {age}");
         self.enter_stage(now, StartupStage::Doubtful, cause)
     }
 
-    /// Discovery has answered, and lists this many endpoints. Returns the change of stage, if any.
+    /// Records that discovery has answered with `endpoint_count` endpoints. Returns the change of stage, if
+    /// any.
     pub fn on_discovery_snapshot(&mut self, now: Timestamp, endpoint_count: usize) -> Option<&StageChange> {
         self.has_discovery_answer = true;
         self.discovery_failures = 0;
         self.endpoint_count = endpoint_count;
         self.source = Some(FactSource::Discovery);
         self.age = None;
-        let stage = self.stage_by_evidence();
-        self.enter_stage(now, stage, format!("the list service told {endpoint_count} servers"))
+        let stage = self.stage_from_evidence();
+        self.enter_stage(now, stage, format!("discovery listed {endpoint_count} endpoints"))
     }
 
-    /// A call to discovery has failed.
+    /// Records a failed call to discovery.
     pub fn on_discovery_error(&mut self) {
         self.discovery_failures = self.discovery_failures.saturating_add(1);
     }
 
-    /// Takes in what the endpoints' own answers show by now. Returns the change of stage, if any.
+    /// Records the latest evidence from the endpoints' answers. Returns the change of stage, if any.
     pub fn on_evidence(&mut self, now: Timestamp, evidence: Evidence) -> Option<&StageChange> {
         self.evidence = evidence;
-        let stage = self.stage_by_evidence();
+        let stage = self.stage_from_evidence();
         let Evidence { ready_endpoints, answered_endpoints, answer_count } = evidence;
-        let note = if self.has_discovery_answer { "" } else { "; the list service has told nothing yet" };
+        let suffix = if self.has_discovery_answer { "" } else { "; discovery has not answered yet" };
         let cause = format!(
-            "{answered_endpoints} of {ready_endpoints} servers have answered, {answer_count} answers in all{note}"
+            "{answered_endpoints} of {ready_endpoints} endpoints have answered, \
+             {answer_count} answers in total{suffix}"
         );
         self.enter_stage(now, stage, cause)
     }
 
-    fn stage_by_evidence(&self) -> StartupStage {
+    fn stage_from_evidence(&self) -> StartupStage {
         if self.endpoint_count == 0 {
             return StartupStage::Nothing;
         }
-        let have_most_answered = self.evidence.have_most_answered();
-        // Where most listed endpoints answer under their names, the list is good enough without discovery.
-        let is_confirmed = self.has_discovery_answer || have_most_answered;
+        let most_have_answered = self.evidence.most_have_answered();
+        // If most listed endpoints have answered, the list is good enough without discovery.
+        let is_confirmed = self.has_discovery_answer || most_have_answered;
         if !is_confirmed {
             StartupStage::Doubtful
         } else if self.evidence.answered_endpoints == 0 {
             StartupStage::Listed
-        } else if have_most_answered && self.evidence.answer_count >= MIN_ANSWERS_FOR_FULL {
+        } else if most_have_answered && self.evidence.answer_count >= MIN_ANSWERS_FOR_FULL {
             StartupStage::Full
         } else {
             StartupStage::Learning
--- a/crates/recovery/src/startup_status/tests.rs
+++ b/crates/recovery/src/startup_status/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn each_change_has_a_cause() {
+fn each_stage_change_has_a_cause() {
     let mut status = StartupStatus::new(Timestamp(0));
     status.on_initial_list(Timestamp(1), 8, FactSource::StateDirectory, Age::Monotonic(Ticks(30_000)));
     status.on_discovery_error();
@@ -30,20 +30,20 @@
     empty.on_initial_list(Timestamp(1), 0, FactSource::Configuration, Age::Unknown);
     empty.on_discovery_snapshot(Timestamp(9), 3);
     expect![[r#"
-        1 nothing to doubtful: 8 servers are known from its folder, 3.0 s old
-        3 doubtful to learning: 4 of 8 servers have answered, 9 answers in all; the list service has told nothing yet
-        4 learning to full: 5 of 8 servers have answered, 40 answers in all; the list service has told nothing yet
-        6 full to learning: 2 of 9 servers have answered, 44 answers in all
-        7 learning to nothing: the list service told 0 servers
-        8 nothing to learning: the list service told 9 servers
+        1 nothing to doubtful: the state directory lists 8 endpoints; the list is 3.0 s old
+        3 doubtful to learning: 4 of 8 endpoints have answered, 9 answers in total; discovery has not answered yet
+        4 learning to full: 5 of 8 endpoints have answered, 40 answers in total; discovery has not answered yet
+        6 full to learning: 2 of 9 endpoints have answered, 44 answers in total
+        7 learning to nothing: discovery listed 0 endpoints
+        8 nothing to learning: discovery listed 9 endpoints
         --
-        9 nothing to listed: the list service told 3 servers
+        9 nothing to listed: discovery listed 3 endpoints
     "#]].assert_eq(&(format_changes(&status) + "--\n" + &format_changes(&empty)));
 }
 
-/// A list that appears and disappears for days must not fill the memory with stage changes.
+/// An endpoint list that appears and disappears for days must not fill the memory with stage changes.
 #[test]
-fn changes_are_bounded_and_the_first_is_kept() {
+fn stage_changes_are_bounded_and_the_first_is_kept() {
     let mut status = StartupStatus::new(Timestamp(0));
     for iteration in 0..1000 {
         status.on_discovery_snapshot(Timestamp(iteration), (iteration % 2) as usize);
--- a/crates/recovery/src/state_directory/tests.rs
+++ b/crates/recovery/src/state_directory/tests.rs
@@ -22,9 +22,10 @@
     StateDirectory::new(disk, Path::new("/state"))
 }
 
-/// Every call and every pair of calls of the first saves fails: the old state is there then, or the new one.
+/// Each disk call and each pair of calls of the first saves fails in turn. Either the old state or the new
+/// one must then be intact.
 #[test]
-fn a_failing_disk_leaves_the_old_state_or_the_new_one() {
+fn disk_errors_leave_the_old_state_or_the_new_one() {
     for first in 1..=14 {
         for second in first..=14 {
             let mut states =
@@ -37,16 +38,19 @@
             }
             states.disk.failing_calls.clear();
             let found = states.load("n0").ok().map(|state| state.list_version);
-            // A state whose save failed in its last call may be there all the same, complete.
-            assert!(found >= last_saved, "{first} and {second}: {found:?}, {last_saved:?} was saved");
-            assert!(found.is_some(), "{first} and {second}");
+            // A state whose save failed only in its last call may still be stored completely.
+            assert!(
+                found >= last_saved,
+                "calls {first} and {second} failed: {found:?} found, {last_saved:?} saved"
+            );
+            assert!(found.is_some(), "calls {first} and {second} failed: no state found");
         }
     }
 }
 
-/// After a crash at any call, whether unsynced directory entries survived or not, no saved state is lost.
+/// No saved state is lost in a crash at any disk call, whether unsynced directory entries survive or not.
 #[test]
-fn a_crash_at_every_point_leaves_the_old_state_or_the_new_one() {
+fn crash_at_any_call_leaves_the_old_state_or_the_new_one() {
     let calls_of = |save_count: u64| {
         let mut states = directory(FaultyDisk::default());
         (1..=save_count).for_each(|version| states.save(&state(version)).unwrap());
@@ -61,12 +65,12 @@
                 last_saved = version;
             }
         }
-        for has_unsynced_names in [false, true] {
-            let mut recovered = directory(states.disk.after_crash(has_unsynced_names));
+        for keeps_unsynced_names in [false, true] {
+            let mut recovered = directory(states.disk.after_crash(keeps_unsynced_names));
             match recovered.load("n0") {
                 Ok(state) => assert!(
                     state.list_version >= last_saved && state.list_version <= last_saved + 1,
-                    "{last_call}: {}",
+                    "after {last_call} calls: version {}",
                     state.list_version
                 ),
                 Err(LoadError::NotFound) => assert_eq!(last_saved, 0, "after {last_call} calls"),
@@ -77,7 +81,7 @@
 }
 
 #[test]
-fn newer_states_and_those_of_other_balancers_are_not_replaced() {
+fn other_balancers_and_newer_versions_are_rejected() {
     let mut states = directory(FaultyDisk::default());
     states.save(&state(1)).unwrap();
     let file = states.state_path("n0");
--- a/crates/recovery/src/state_directory/tests/faulty_disk.rs
+++ b/crates/recovery/src/state_directory/tests/faulty_disk.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that fails and crashes where a test says.
+//! An in-memory disk that fails and crashes at the calls that a test chooses.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -6,16 +6,16 @@
 
 use crate::disk::Disk;
 
-/// A disk that loses whatever was not synced, and whose calls fail, or are the last before a crash, as a test demands.
+/// Simulates a disk that loses unsynced data in a crash, and whose calls fail as a test demands.
 #[derive(Clone, Default)]
 pub struct FaultyDisk {
     pub names: BTreeMap<PathBuf, usize>,
-    /// The directory entries that survive a crash.
+    /// Holds the directory entries that survive a crash.
     pub durable_names: BTreeMap<PathBuf, usize>,
-    /// The bytes of each file, and those that survive a crash.
+    /// Holds the current bytes of each file, and the bytes that survive a crash.
     pub files: Vec<(Vec<u8>, Vec<u8>)>,
     pub call_count: usize,
-    /// Numbers of the calls that fail, from 1; a failed write leaves half of the bytes.
+    /// Holds the numbers of the calls that fail, counted from 1. A failed write leaves half of the bytes.
     pub failing_calls: Vec<usize>,
     pub last_call_before_crash: Option<usize>,
 }
@@ -24,7 +24,7 @@
     fn begin_call(&mut self) -> io::Result<()> {
         self.call_count += 1;
         if self.last_call_before_crash.is_some_and(|last| self.call_count > last) {
-            return Err(io::Error::other("the machine is off"));
+            return Err(io::Error::other("the machine has crashed"));
         }
         if self.failing_calls.contains(&self.call_count) {
             return Err(io::Error::other("the disk failed"));
@@ -32,9 +32,10 @@
         Ok(())
     }
 
-    /// The disk as found after a power failure now. Directory entries that were not synced may have survived or not.
-    pub fn after_crash(&self, has_unsynced_names: bool) -> FaultyDisk {
-        let names = if has_unsynced_names { &self.names } else { &self.durable_names }.clone();
+    /// Returns the disk as it is after a power failure now. Unsynced directory entries may have survived or
+    /// not.
+    pub fn after_crash(&self, keeps_unsynced_names: bool) -> FaultyDisk {
+        let names = if keeps_unsynced_names { &self.names } else { &self.durable_names }.clone();
         let files = self.files.iter().map(|(_, durable)| (durable.clone(), durable.clone())).collect();
         FaultyDisk { durable_names: names.clone(), names, files, ..FaultyDisk::default() }
     }
@@ -49,7 +50,7 @@
         if index == self.files.len() {
             self.files.push(Default::default());
         }
-        // Half of the bytes may have reached the disk although they were not synced.
+        // Half of the bytes may have reached the disk although the file was not synced.
         self.files[index] = (bytes.to_vec(), bytes[..bytes.len() / 2].to_vec());
     }
 }
--- a/crates/recovery/src/state_file.rs
+++ b/crates/recovery/src/state_file.rs
@@ -1,6 +1,6 @@
-//! The format of a state file: a magic line, the format version, the length and checksum of the body, and the body, a
-//! [`PersistedState`] in postcard encoding. Numbers are little-endian. The checksum covers header and body, so that no changed
-//! byte goes unnoticed.
+//! The format of a state file: a magic line, the format version, the length and checksum of the body, and the
+//! body, which is a [`PersistedState`] in postcard encoding. Numbers are little-endian. The checksum covers
+//! both header and body, so that a change of any byte is detected.
 
 pub use crate::learned_state::{has_settings, prepend_settings, transferable_learned_state};
 pub use crate::persisted_state::{PersistedEndpoint, PersistedState};
@@ -11,39 +11,41 @@
 const CHECKSUM_OFFSET: usize = LENGTH_OFFSET + size_of::<u64>();
 const HEADER_BYTES: usize = CHECKSUM_OFFSET + size_of::<u32>();
 
-/// The format version that is written. Later programs go on reading this one; files of a later version are left alone.
+/// Sets the format version that is written. Later programs must still read this version, and this program
+/// leaves files of a later version unchanged.
 pub const FORMAT_VERSION: u32 = 1;
-/// The longest body in bytes, far more than any fleet needs.
+/// Limits the size of the body in bytes. This is far more than any fleet needs.
 pub const MAX_STATE_BYTES: usize = 16 << 20;
-/// How many bytes of a file are read: more than the longest valid file has, so that a longer one is told apart.
+/// Limits the bytes that are read of a file. This is more than the longest valid file has, so that a longer
+/// file is recognised.
 pub(crate) const MAX_READ_BYTES: usize = MAX_STATE_BYTES + 64;
-/// More endpoints than any fleet has.
+/// Limits the endpoints of a state. This is more than any fleet has.
 const MAX_ENDPOINTS: usize = 20_000;
 
-/// Why bytes are not a valid state file.
+/// Says why bytes are not a valid state file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StateFileError {
     /// The magic line is missing.
-    #[error("it is no state of doorproxy")]
+    #[error("the file is not a doorproxy state file")]
     NotAStateFile,
     /// The file ends early.
-    #[error("it was cut off")]
+    #[error("the state file is truncated")]
     Truncated,
-    /// The checksum does not match, or the body is not a state.
-    #[error("its checksum does not fit")]
+    /// The checksum does not match, or the body is not a valid state.
+    #[error("the state file is corrupt: wrong checksum or invalid body")]
     Corrupt,
-    /// A later program wrote it.
-    #[error("it is of version {0}, and this program reads up to {FORMAT_VERSION}: a newer one wrote it")]
+    /// A newer program wrote the file.
+    #[error("format version {0} is from a newer program; this one reads versions up to {FORMAT_VERSION}")]
     NewerVersion(u32),
     /// The body is longer than [`MAX_STATE_BYTES`].
-    #[error("it is longer than {MAX_STATE_BYTES} bytes")]
+    #[error("the state is longer than {MAX_STATE_BYTES} bytes")]
     TooLarge,
 }
 
-/// The bytes of a state file.
+/// Encodes a state as the bytes of a state file.
 ///
 /// # Errors
-/// [`StateFileError::TooLarge`] where [`decode`] would reject the length.
+/// Returns [`StateFileError::TooLarge`] if the state is longer than [`decode`] accepts.
 pub fn encode(state: &PersistedState) -> Result<Vec<u8>, StateFileError> {
     let body = postcard::to_stdvec(state).map_err(|_| StateFileError::Corrupt)?;
     encode_frame(FORMAT_VERSION, &body)
@@ -62,7 +64,8 @@
     Ok(bytes)
 }
 
-/// Covers the header too, so that a damaged version or length is not taken for another one.
+/// Computes the checksum of header and body. It includes the header, so that a damaged version or length is
+/// detected.
 fn checksum(header: &[u8], body: &[u8]) -> u32 {
     crc32c::crc32c_append(crc32c::crc32c(header), body)
 }
@@ -75,12 +78,12 @@
 /// Decodes the bytes of a state file.
 ///
 /// # Errors
-/// Why the bytes are not a valid state file. Every change of a byte is detected.
+/// Returns an error if the bytes are not a valid state file. A change of any byte is detected.
 pub fn decode(bytes: &[u8]) -> Result<PersistedState, StateFileError> {
     check_magic(bytes)?;
     let version = u32::from_le_bytes(read_array(bytes, VERSION_OFFSET)?);
     let body = checked_body(bytes)?;
-    // The checksum matches, so the body is as some program wrote it.
+    // The checksum matches, so the file is as some program wrote it, and an unknown version is not damage.
     if version != FORMAT_VERSION {
         return Err(StateFileError::NewerVersion(version));
     }
@@ -101,7 +104,7 @@
     }
 }
 
-/// The body, after its length and checksum were checked.
+/// Checks the length and checksum, and returns the body.
 fn checked_body(bytes: &[u8]) -> Result<&[u8], StateFileError> {
     let length = u64::from_le_bytes(read_array(bytes, LENGTH_OFFSET)?);
     let expected_checksum = u32::from_le_bytes(read_array(bytes, CHECKSUM_OFFSET)?);
--- a/crates/recovery/src/state_file/tests.rs
+++ b/crates/recovery/src/state_file/tests.rs
@@ -26,16 +26,17 @@
     }
 }
 
-/// A file as the first program with version 1 wrote it: state directories hold such files.
+/// The file is as the first program with format version 1 wrote it. State directories still contain such
+/// files.
 #[test]
-fn state_files_of_version_1_are_read() {
+fn state_files_of_version_1_are_read_and_written() {
     assert_eq!(decode(include_bytes!("../../testdata/state-1")), Ok(state()));
     assert_eq!(encode(&state()).unwrap(), include_bytes!("../../testdata/state-1"));
 }
 
 #[test]
 fn a_newer_version_is_distinguished_from_corruption() {
-    let newer = encode_frame(FORMAT_VERSION + 1, b"whatever it holds").unwrap();
+    let newer = encode_frame(FORMAT_VERSION + 1, b"any body").unwrap();
     assert_eq!(decode(&newer), Err(StateFileError::NewerVersion(FORMAT_VERSION + 1)));
     assert_eq!(decode(b""), Err(StateFileError::Truncated));
     assert_eq!(decode(b"something else"), Err(StateFileError::NotAStateFile));
@@ -44,9 +45,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(20_000))]
 
-    /// Bytes that were changed, cut off or appended are never decoded as a state, and never cause a panic.
+    /// Changed, truncated or extended bytes never decode as a state and never cause a panic.
     #[test]
-    fn damage_is_detected(
+    fn damaged_bytes_are_rejected(
         changes in prop::collection::vec((any::<prop::sample::Index>(), 1u8..), 0..4),
         new_length in prop::option::of(any::<prop::sample::Index>()),
         suffix in prop::collection::vec(any::<u8>(), 0..3),
@@ -66,9 +67,9 @@
     }
 
     #[test]
-    fn no_bytes_make_it_panic(bytes in prop::collection::vec(any::<u8>(), 0..200), version in 0u32..4) {
+    fn decode_never_panics(bytes in prop::collection::vec(any::<u8>(), 0..200), version in 0u32..4) {
         let _ = decode(&bytes);
-        // Also where the checksum is right for bytes that no program wrote.
+        // A matching checksum must not cause a panic either, even for a body that no program wrote.
         let _ = decode(&encode_frame(version, &bytes).unwrap());
     }
 }
--- a/crates/recovery/src/validity.rs
+++ b/crates/recovery/src/validity.rs
@@ -1,40 +1,40 @@
-//! The table of what a fact may be used for, by its source and age. A restored fact is reachable only by naming the use, and
-//! is not given out for a use that the table forbids.
+//! The uses that a fact permits, by its source and age. Reading a restored fact requires naming the use, and
+//! a use that the table forbids gets no value.
 
 use doorproxy::ids::Ticks;
 
 use crate::age::Age;
 
-/// Where a fact comes from.
+/// Says where a fact comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FactSource {
-    /// This process observed it: answers, refused connections.
+    /// This process observed the fact itself, by answers or refused connections.
     OwnObservation,
-    /// Discovery, since this process started.
+    /// Discovery reported the fact since this process started.
     Discovery,
-    /// The configuration with which the process started.
+    /// The fact is from the configuration with which the process started.
     Configuration,
-    /// The state directory.
+    /// The fact is from the state directory.
     StateDirectory,
 }
 
-/// What a fact is to be used for.
+/// Says what a fact is to be used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FactUse {
-    /// To send requests to an endpoint at all.
+    /// Sends requests to an endpoint.
     SendRequests,
-    /// To send none to an endpoint, since it drains, is ejected manually, or has just started.
+    /// Sends no requests to an endpoint that is draining, manually ejected or just started.
     AvoidEndpoint,
-    /// To charge work that was sent against the limit of an endpoint in slow start.
+    /// Charges sent work against the limit of an endpoint in slow start.
     ChargeWork,
-    /// To estimate how long answers take, for attempt timeouts and admission.
+    /// Estimates service times for attempt timeouts and admission.
     EstimateServiceTime,
-    /// To send an endpoint in slow start more than one request at a time.
+    /// Sends an endpoint in slow start more than one request at a time.
     RaiseSlowStartLimit,
 }
 
 impl FactUse {
-    /// All uses.
+    /// Lists all uses.
     pub const ALL: [FactUse; 5] = [
         FactUse::SendRequests,
         FactUse::AvoidEndpoint,
@@ -44,12 +44,13 @@
     ];
 }
 
-/// Older service times mislead more than they help.
+/// Limits the age of restored service times: older ones mislead more than they help.
 const MAX_SERVICE_TIME_AGE: Ticks = Ticks(600_000);
-/// Discovery is never away for longer while its fleet runs; past that most addresses belong to others.
+/// Limits the age of a restored endpoint list. Discovery is never down for longer while its fleet runs, and
+/// after that time most addresses belong to other processes.
 const MAX_LIST_AGE: Ticks = Ticks(36_000_000);
 
-/// Whether a fact of this source and age may be used so.
+/// Returns whether a fact of this source and age may be used for this purpose.
 ///
 /// | use | own observation, discovery | configuration | state directory |
 /// | --- | --- | --- | --- |
@@ -74,7 +75,7 @@
     }
 }
 
-/// A list of unknown age is better than no endpoint at all; it stays doubtful until it is confirmed.
+/// A list of unknown age is better than no endpoints. It stays doubtful until it is confirmed.
 fn is_list_usable(age: Age) -> bool {
     match age {
         Age::Monotonic(age) | Age::WallClock(age) => age <= MAX_LIST_AGE,
@@ -82,7 +83,7 @@
     }
 }
 
-/// A value that is given out only for the uses that [`is_allowed`] permits.
+/// Holds a value that is accessible only for the uses that [`is_allowed`] permits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fact<T> {
     value: T,
@@ -91,22 +92,22 @@
 }
 
 impl<T> Fact<T> {
-    /// A fact of this source and age.
+    /// Creates a fact of this source and age.
     pub fn new(value: T, source: FactSource, age: Age) -> Fact<T> {
         Fact { value, source, age }
     }
 
-    /// The value, or `None` where it may not be used so.
+    /// Returns the value, or `None` if it may not be used for this purpose.
     pub fn for_use(&self, fact_use: FactUse) -> Option<&T> {
         is_allowed(self.source, self.age, fact_use).then_some(&self.value)
     }
 
-    /// Where it comes from.
+    /// Returns the source of the fact.
     pub fn source(&self) -> FactSource {
         self.source
     }
 
-    /// How old it was when it was restored.
+    /// Returns the age of the fact when it was restored.
     pub fn age(&self) -> Age {
         self.age
     }
--- a/crates/recovery/src/validity/tests.rs
+++ b/crates/recovery/src/validity/tests.rs
@@ -2,14 +2,14 @@
 
 use super::*;
 
-/// The whole table as text, so that any change of it shows in a review.
+/// The test prints the whole table, so that a review shows any change of it.
 #[test]
 fn the_validity_table_matches_its_snapshot() {
     let minute = Ticks(600_000);
     let ages = [
-        ("sure, a minute", Age::Monotonic(minute)),
-        ("sure, an hour and a bit", Age::Monotonic(Ticks(36_000_001))),
-        ("claimed, a minute", Age::WallClock(minute)),
+        ("monotonic, a minute", Age::Monotonic(minute)),
+        ("monotonic, just over an hour", Age::Monotonic(Ticks(36_000_001))),
+        ("wall clock, a minute", Age::WallClock(minute)),
         ("unknown", Age::Unknown),
     ];
     let mut table = String::new();
@@ -29,21 +29,21 @@
         }
     }
     expect![[r#"
-        OwnObservation, sure, a minute: SendRequests AvoidEndpoint ChargeWork EstimateServiceTime RaiseSlowStartLimit
-        OwnObservation, sure, an hour and a bit: SendRequests AvoidEndpoint ChargeWork EstimateServiceTime RaiseSlowStartLimit
-        OwnObservation, claimed, a minute: SendRequests AvoidEndpoint ChargeWork EstimateServiceTime RaiseSlowStartLimit
+        OwnObservation, monotonic, a minute: SendRequests AvoidEndpoint ChargeWork EstimateServiceTime RaiseSlowStartLimit
+        OwnObservation, monotonic, just over an hour: SendRequests AvoidEndpoint ChargeWork EstimateServiceTime RaiseSlowStartLimit
+        OwnObservation, wall clock, a minute: SendRequests AvoidEndpoint ChargeWork EstimateServiceTime RaiseSlowStartLimit
         OwnObservation, unknown: SendRequests AvoidEndpoint ChargeWork EstimateServiceTime RaiseSlowStartLimit
-        Discovery, sure, a minute: SendRequests AvoidEndpoint ChargeWork EstimateServiceTime RaiseSlowStartLimit
-        Discovery, sure, an hour and a bit: SendRequests AvoidEndpoint ChargeWork EstimateServiceTime RaiseSlowStartLimit
-        Discovery, claimed, a minute: SendRequests AvoidEndpoint ChargeWork EstimateServiceTime RaiseSlowStartLimit
+        Discovery, monotonic, a minute: SendRequests AvoidEndpoint ChargeWork EstimateServiceTime RaiseSlowStartLimit
+        Discovery, monotonic, just over an hour: SendRequests AvoidEndpoint ChargeWork EstimateServiceTime RaiseSlowStartLimit
+        Discovery, wall clock, a minute: SendRequests AvoidEndpoint ChargeWork EstimateServiceTime RaiseSlowStartLimit
         Discovery, unknown: SendRequests AvoidEndpoint ChargeWork EstimateServiceTime RaiseSlowStartLimit
-        Configuration, sure, a minute: SendRequests AvoidEndpoint ChargeWork
-        Configuration, sure, an hour and a bit: SendRequests AvoidEndpoint ChargeWork
-        Configuration, claimed, a minute: SendRequests AvoidEndpoint ChargeWork
+        Configuration, monotonic, a minute: SendRequests AvoidEndpoint ChargeWork
+        Configuration, monotonic, just over an hour: SendRequests AvoidEndpoint ChargeWork
+        Configuration, wall clock, a minute: SendRequests AvoidEndpoint ChargeWork
         Configuration, unknown: SendRequests AvoidEndpoint ChargeWork
-        StateDirectory, sure, a minute: SendRequests AvoidEndpoint ChargeWork EstimateServiceTime
-        StateDirectory, sure, an hour and a bit: AvoidEndpoint ChargeWork
-        StateDirectory, claimed, a minute: SendRequests AvoidEndpoint ChargeWork
+        StateDirectory, monotonic, a minute: SendRequests AvoidEndpoint ChargeWork EstimateServiceTime
+        StateDirectory, monotonic, just over an hour: AvoidEndpoint ChargeWork
+        StateDirectory, wall clock, a minute: SendRequests AvoidEndpoint ChargeWork
         StateDirectory, unknown: SendRequests AvoidEndpoint ChargeWork
     "#]]
     .assert_eq(&table);
--- a/crates/recovery/tests/stored.rs
+++ b/crates/recovery/tests/stored.rs
@@ -1,4 +1,4 @@
-//! A state file as a balancer under load wrote it is read whole, and written again byte by byte.
+//! A state file that a balancer wrote under load is read completely, and written back byte for byte.
 
 use std::fmt::Write as _;
 use std::path::Path;
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_stored_state_is_read() {
+fn stored_state_is_read() {
     let state = load();
     let mut text = format!("{} list {}\n", state.balancer, state.list_version);
     for reading in [&state.written_at, &state.list_confirmed_at] {
@@ -33,7 +33,7 @@
     }
     let mut lines = state.learned_state.lines();
     writeln!(text, "{}\n{}", lines.next().unwrap(), lines.next().unwrap()).unwrap();
-    writeln!(text, "and {} lines", lines.count()).unwrap();
+    writeln!(text, "and {} more lines", lines.count()).unwrap();
     expect![[r#"
         n0 list 9
         1796288606747 ms, 2012010 ms since boot 952f9774-3fda-49a5-ba88-ce942f9e4c84
@@ -46,13 +46,13 @@
         u5 at 127.3.227.15:6110, west, small, cell 0, active, weight 1, 0 ms
         settings cf9dcef14bbdf60c
         sent 3715113093 17962886027701 0.01078
-        and 99 lines
+        and 99 more lines
     "#]]
     .assert_eq(&text);
 }
 
 #[test]
-fn a_stored_state_is_written_as_it_was() {
+fn stored_state_is_written_back_byte_for_byte() {
     let directory = tempfile::tempdir().unwrap();
     StateDirectory::new(LocalDisk, directory.path()).save(&load()).unwrap();
     let written = std::fs::read(directory.path().join("n0.state")).unwrap();
