--- a/crates/balancer/src/assembly.rs
+++ b/crates/balancer/src/assembly.rs
@@ -1,4 +1,4 @@
-//! Puts the components of a balancer together, and starts their tasks.
+//! Creates the components of a balancer and starts their tasks.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -23,14 +23,15 @@
 
 pub use crate::components::{Components, InheritedListener};
 
-/// File descriptors of the admin API: its connections, its listener, the epoll and wake-up descriptors of its thread,
-/// and the override file.
+/// Number of file descriptors that are reserved for the admin API: its connections, its listener, the epoll
+/// and wake-up descriptors of its thread, and the override file.
 pub const ADMIN_DESCRIPTORS: usize = admin::MAX_CONNECTIONS + 6;
 
-/// Part of the shortest latency objective for which a response of unknown length is buffered: it may break off.
+/// Share of the shortest latency objective for which a response of unknown length is buffered, so that a
+/// response that breaks off within this time is not forwarded as complete.
 pub const RESPONSE_BUFFERING_RATIO: f64 = 0.25;
 
-/// Makes the components of a balancer. Nothing runs yet.
+/// Creates the components of a balancer without starting any task.
 pub fn assemble<R: Runtime>(runtime: &R, config: &Arc<Config>) -> Components<R> {
     let timeouts = UpstreamTimeouts {
         connect: config.connect_timeout,
@@ -60,7 +61,7 @@
     }
 }
 
-/// Counters for the classes in the order of their indices.
+/// Creates the counters, with the request classes in the order of their indices.
 fn new_metrics(config: &Config) -> Metrics {
     let mut classes: Vec<(&String, &u16)> = config.classes.iter().collect();
     classes.sort_by_key(|(_, index)| **index);
@@ -68,7 +69,8 @@
 }
 
 impl<R: Runtime> Components<R> {
-    /// The admin API. Applies the stored overrides, so that they are known before the first list.
+    /// Creates the admin API and applies the stored overrides, so that they are known before the first
+    /// endpoint list.
     pub fn admin_api(&self, runtime: &R, override_store: Arc<dyn TextStore>) -> AdminApi<R> {
         let overrides = admin::read_overrides(runtime, &*override_store);
         lock(&self.discovery).set_overrides(overrides);
@@ -89,12 +91,12 @@
     }
 }
 
-/// Serves until shutdown, and returns once all requests are answered. The endpoint list is watched at the address in
-/// `discovery_address`.
+/// Serves until shutdown, and returns once all requests are answered. `discovery_address` holds the address
+/// of the discovery service and may change.
 ///
 /// # Errors
 ///
-/// If the address can't be listened on, or the sibling processes can't be told.
+/// Fails if the listen address can't be bound, or the announcement to the sibling processes can't be written.
 pub async fn serve<R: Runtime>(
     runtime: R,
     components: Components<R>,
@@ -108,7 +110,7 @@
         inherited.as_ref().is_some_and(|inherited| inherited.siblings.status().has_predecessor);
     apply_initial_list(&runtime, &components, &config, has_predecessor);
     spawn_tasks(&runtime, &components, &config, discovery_address);
-    // The platform kills the process so long after SIGTERM as a request may take, if that is less.
+    // The platform kills the process one maximum request timeout after SIGTERM, even within the grace period.
     let grace_period = grace_period.min(config.settings.max_timeout());
     let server = Server::new(runtime, config, components, grace_period);
     server::serve(server, inherited, has_predecessor, shutdown).await
@@ -135,8 +137,8 @@
         |recovery| recovery.initial_endpoints(configured),
     );
     apply_list(runtime, &mut discovery, dispatcher, upstream_client, &initial.list);
-    // A watch would wait for changes after a version that may belong to another incarnation of the service, or, for an
-    // empty list, was stored without its endpoints.
+    // These versions can't be used to watch for changes: they may belong to another incarnation of the
+    // discovery service, or, for an empty list, come without the endpoints of that version.
     let is_stored = initial.source == FactSource::StateDirectory;
     if has_predecessor || initial.list.endpoints.is_empty() || is_stored {
         discovery.forget_version();
@@ -146,7 +148,7 @@
     }
 }
 
-/// Starts the tasks that run beside the server. The order decides the order of events in the simulation.
+/// Starts the background tasks. The order of the calls determines the order of events in the simulation.
 fn spawn_tasks<R: Runtime>(
     runtime: &R,
     components: &Components<R>,
--- a/crates/balancer/src/components.rs
+++ b/crates/balancer/src/components.rs
@@ -1,4 +1,4 @@
-//! The components of one balancer process.
+//! Holds the components of one balancer process.
 
 use std::sync::{Arc, Mutex};
 
@@ -16,32 +16,32 @@
 use crate::sync::lock;
 use crate::upstream::UpstreamClient;
 
-/// What the tasks of one balancer share.
+/// Holds the state that the tasks of one balancer share.
 #[derive(Clone)]
 pub struct Components<R: Runtime> {
-    /// The decisions.
+    /// Decides where and when requests are sent.
     pub dispatcher: Dispatcher,
-    /// The connections to the endpoints.
+    /// Holds the connections to the endpoints.
     pub upstream_client: Arc<UpstreamClient<R>>,
-    /// The endpoint list.
+    /// Holds the endpoint list.
     pub discovery: Arc<Mutex<DiscoveryState>>,
-    /// Counters of requests and attempts.
+    /// Counts requests and attempts.
     pub metrics: Arc<Metrics>,
-    /// Whether the process serves.
+    /// Tells whether the process serves clients.
     pub readiness: Arc<Readiness>,
-    /// State kept across restarts, if the fleet file names a directory.
+    /// Keeps state across restarts, if the fleet file names a state directory.
     pub recovery: Option<Arc<RecoveryState>>,
-    /// The other balancers, if the fleet file has them.
+    /// Holds what is known of the other balancers, if the fleet file has a `[peers]` table.
     pub peers: Option<Arc<SharedPeerState>>,
-    /// Overrides for the whole fleet; only with `peers`.
+    /// Stores the overrides for the whole fleet; set only together with `peers`.
     pub fleet_overrides: Option<Arc<FleetOverrides>>,
-    /// Sockets that clients and endpoints may use together.
+    /// Limits the sockets that clients and endpoints use together.
     pub max_sockets: usize,
 }
 
 impl<R: Runtime> Components<R> {
-    /// Leaves warming endpoints to another process of this balancer since the given time, or, with `None`, takes them
-    /// back.
+    /// Leaves the endpoints that are warming up to another process of this balancer from the given time on,
+    /// or takes them back with `None`.
     pub fn delegate_warming(&self, now: Timestamp, since: Option<Timestamp>) {
         let mut discovery = lock(&self.discovery);
         let updates = discovery.delegate_warming(since);
@@ -49,10 +49,10 @@
     }
 }
 
-/// The clients' listener that the platform handed to the process, and the other processes that share it.
+/// Holds the client listener that the platform passed to the process, and the processes that share it.
 pub struct InheritedListener<R: Runtime> {
-    /// The listener.
+    /// Accepts client connections.
     pub listener: R::Listener,
-    /// The other processes.
+    /// Tells which other processes share the listener.
     pub siblings: Arc<dyn Siblings>,
 }
--- a/crates/balancer/src/handover.rs
+++ b/crates/balancer/src/handover.rs
@@ -1,5 +1,5 @@
-//! Handover between the processes of one balancer: the platform holds the clients' socket and starts the next process
-//! while the previous one still serves.
+//! Hands over from one process of a balancer to the next: the platform holds the listening socket and starts
+//! the next process while the previous one still serves.
 
 mod process_locks;
 pub mod snapshot;
@@ -8,38 +8,38 @@
 
 pub use process_locks::ProcessLocks;
 
-/// The other processes of this balancer.
+/// Communicates with the other processes of this balancer.
 pub trait Siblings: Send + Sync {
-    /// Tells predecessors that this process serves. Called once.
+    /// Tells predecessors that this process serves. Must be called once only.
     ///
     /// # Errors
     ///
-    /// If the announcement can't be written.
+    /// Fails if the announcement can't be written.
     fn announce_serving(&self) -> io::Result<()>;
 
-    /// Which other processes run now.
+    /// Returns which other processes run now.
     fn status(&self) -> SiblingStatus;
 
-    /// Leaves a snapshot of the learned state to the successor.
+    /// Saves a learned-state snapshot for the successor.
     ///
     /// # Errors
     ///
-    /// If it can't be written.
+    /// Fails if the snapshot can't be written.
     fn save_snapshot(&self, text: &str) -> io::Result<()>;
 
-    /// The snapshot that a predecessor left, if any.
+    /// Returns the snapshot that a predecessor saved, if there is one.
     fn load_snapshot(&self) -> Option<String>;
 }
 
-/// Which other processes of this balancer run.
+/// Tells which other processes of this balancer run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SiblingStatus {
-    /// A later process serves.
+    /// Is set if a later process serves.
     pub has_successor: bool,
-    /// A later process runs and does not serve yet.
+    /// Is set if a later process runs and does not serve yet.
     pub has_starting_successor: bool,
-    /// An earlier process runs.
+    /// Is set if an earlier process runs.
     pub has_predecessor: bool,
-    /// Any other process runs, so the sockets are shared.
+    /// Is set if any other process runs, so that the sockets are shared.
     pub has_siblings: bool,
 }
--- a/crates/balancer/src/handover/process_locks.rs
+++ b/crates/balancer/src/handover/process_locks.rs
@@ -1,4 +1,4 @@
-//! Lock files by which the processes of one balancer know of each other.
+//! Implements the lock files by which the processes of one balancer detect each other.
 
 use std::fs::{File, TryLockError};
 use std::io::{self, Write as _};
@@ -7,11 +7,12 @@
 use crate::file_names::safe_file_name;
 use crate::handover::{SiblingStatus, Siblings};
 
-/// Content of a lock file whose process serves.
+/// Content of the lock file of a process that serves.
 const SERVING: &str = "serves\n";
 
-/// Numbered files in a directory that all processes of a balancer share, one for each process. A process holds a lock on
-/// its file for as long as it runs; the system releases it if the process is killed, so a file without a lock is of none.
+/// Manages the numbered lock files in a directory that all processes of a balancer share, one file for each
+/// process. A process holds a lock on its file while it runs. The system releases the lock when the process
+/// is killed, so an unlocked file belongs to no running process.
 pub struct ProcessLocks {
     directory: PathBuf,
     prefix: String,
@@ -24,13 +25,13 @@
     ///
     /// # Errors
     ///
-    /// If the directory can't be read or written.
+    /// Fails if the directory can't be read or written.
     pub fn register(directory: &Path, balancer: &str) -> io::Result<ProcessLocks> {
         let name = safe_file_name(balancer);
         let prefix = format!("doorproxy-{name}.process-");
         let new_path = directory.join(format!("doorproxy-{name}.new-{}", std::process::id()));
         let own_lock = File::create(&new_path)?;
-        // Locked before it gets its number, so that others never see it unlocked.
+        // Locked before it is linked under its number, so that other processes never see it unlocked.
         own_lock.lock()?;
         let last = process_numbers(directory, &prefix)?.into_iter().max().unwrap_or(0);
         let number = claim_number(directory, &prefix, &new_path, last + 1)?;
@@ -46,7 +47,8 @@
         self.directory.join(format!("{}{number}", self.prefix))
     }
 
-    /// The content of another process's file, or `None` if it no longer runs; its file is removed then.
+    /// Returns the content of another process's lock file. If that process no longer runs, removes the file
+    /// and returns `None`.
     fn read_announcement(&self, number: u64) -> Option<String> {
         let path = self.lock_path(number);
         let file = File::open(&path).ok()?;
@@ -61,12 +63,12 @@
     }
 }
 
-/// Links the file to the first free number.
+/// Links the file under the first free number and returns the number.
 fn claim_number(directory: &Path, prefix: &str, new_path: &Path, first: u64) -> io::Result<u64> {
     for number in first.. {
         match std::fs::hard_link(new_path, directory.join(format!("{prefix}{number}"))) {
             Ok(()) => return Ok(number),
-            // Another process started at the same time.
+            // Another process that started at the same time has taken this number.
             Err(error) if error.kind() == io::ErrorKind::AlreadyExists => {}
             Err(error) => return Err(error),
         }
@@ -90,7 +92,8 @@
 
     fn status(&self) -> SiblingStatus {
         let mut status = SiblingStatus::default();
-        // A directory that can't be read counts as empty: to shut down for that would leave no process that serves.
+        // A directory that can't be read counts as empty, since failing here would leave no process that
+        // serves.
         let numbers = process_numbers(&self.directory, &self.prefix).unwrap_or_default();
         for number in numbers.into_iter().filter(|number| *number != self.number) {
             let Some(announcement) = self.read_announcement(number) else { continue };
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,5 +1,5 @@
-//! The balancer as a library: it carries out the decisions of the `doorproxy` crate on connections, on any
-//! [`runtime::Runtime`].
+//! The balancer as a library. It carries out the decisions of the `doorproxy` crate on network connections,
+//! on any [`runtime::Runtime`].
 
 #![warn(missing_docs)]
 
@@ -18,5 +18,3 @@
 pub mod runtime;
 pub mod sync;
 pub mod upstream;
-
-// Shorter paths for the other crates of the workspace.
--- a/crates/balancer/src/readiness.rs
+++ b/crates/balancer/src/readiness.rs
@@ -1,10 +1,11 @@
-//! Readiness of the process, as the health check on the admin address reports it.
+//! Tracks the readiness of the process, which the admin API reports to health checks.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use tokio::sync::Notify;
 
-/// Whether the process serves clients, and whether discovery has been attempted. Shared with the admin thread.
+/// Tells whether the process serves clients and whether discovery has been attempted. Shared with the admin
+/// thread.
 #[derive(Default)]
 pub struct Readiness {
     is_ready: AtomicBool,
@@ -21,7 +22,7 @@
 
     /// Waits for the first discovery request to succeed or fail.
     ///
-    /// Cancel safe.
+    /// This method is cancel safe.
     pub async fn discovery_attempted(&self) {
         // Created before the flag is read: `notify_waiters` wakes existing waiters only.
         let notified = self.discovery_notify.notified();
@@ -35,7 +36,7 @@
         self.is_ready.store(is_ready, Ordering::Relaxed);
     }
 
-    /// Whether the process accepts new clients.
+    /// Returns whether the process accepts new clients.
     pub fn is_ready(&self) -> bool {
         self.is_ready.load(Ordering::Relaxed)
     }
--- a/crates/balancer/src/runtime.rs
+++ b/crates/balancer/src/runtime.rs
@@ -1,5 +1,5 @@
-//! What the balancer needs of its surroundings: time, tasks, connections, and a log. The same code runs on the system's
-//! sockets and clock ([`system`]) and in the deterministic simulation.
+//! Defines what the balancer needs from its environment: time, tasks, connections and a log. The same code
+//! runs on the system's sockets and clock ([`system`]) and in the deterministic simulation.
 
 pub mod dispatcher_driver;
 mod hyper;
@@ -21,45 +21,49 @@
 pub use self::hyper::HyperRuntime;
 pub use inherit::{InheritError, inherit_listener};
 
-/// Clock, tasks, sockets and log.
+/// Provides the clock, tasks, sockets and the log.
 pub trait Runtime: Clone + Send + Sync + Unpin + 'static {
-    /// Its connections.
+    /// Represents a connection.
     type Stream: Stream;
-    /// Its listeners.
+    /// Represents a listener.
     type Listener: Listener<Stream = Self::Stream>;
 
-    /// Unix time, comparable with start times in the endpoint list. Monotonic.
+    /// Returns the Unix time, which never runs backwards and is comparable with the start times in the
+    /// endpoint list.
     fn now(&self) -> Timestamp;
 
-    /// The same clock, for libraries.
+    /// Returns the time of the same clock in the type that libraries use.
     fn instant(&self) -> Instant;
 
-    /// A time by which all input that had arrived has been read: the event loop had nothing left to do, and polled again.
+    /// Returns a time such that all input that had arrived by then has been read: since that time, the event
+    /// loop has finished its work and polled again.
     fn caught_up_to(&self) -> Timestamp;
 
-    /// Waits.
+    /// Waits for this time.
     fn sleep(&self, time: Duration) -> impl Future<Output = ()> + Send + Sync + 'static;
 
-    /// Runs a task of its own.
+    /// Starts a task that runs concurrently with its caller.
     fn spawn(&self, task: impl Future<Output = ()> + Send + 'static);
 
-    /// Opens a connection.
+    /// Opens a connection to an address.
     fn connect(&self, to: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>> + Send;
 
-    /// Listens, with a send buffer of so many bytes for accepted connections and a backlog of so many connections.
+    /// Opens a listener. `send_buffer` is the size of the send buffer of accepted connections in bytes, and
+    /// `backlog` the number of connections that may wait to be accepted.
     ///
     /// # Errors
     ///
-    /// If the address can't be bound.
+    /// Fails if the address can't be bound.
     fn listen(&self, at: SocketAddr, send_buffer: u32, backlog: u32) -> io::Result<Self::Listener>;
 
-    /// The result of an attempt, for whoever counts them.
+    /// Reports the result of an attempt. Does nothing unless the runtime counts results, as the simulation
+    /// does.
     fn attempt_finished(&self, _result: &'static str) {}
 
     /// Writes a log line without blocking.
     fn log(&self, line: Arguments);
 
-    /// Time until `at`; zero if it has passed.
+    /// Returns the time until `at`, or zero if `at` has passed.
     fn time_until(&self, at: Timestamp) -> Duration {
         duration(at - self.now())
     }
@@ -69,7 +73,7 @@
         self.sleep(self.time_until(at))
     }
 
-    /// The output of `call`, or `None` if it takes longer than `limit`. `call` is dropped then.
+    /// Returns the output of `call`, or drops `call` and returns `None` if it takes longer than `limit`.
     fn timeout<F: Future + Send>(
         &self,
         limit: Duration,
@@ -89,54 +93,56 @@
     }
 }
 
-/// A connection. The HTTP libraries read and write it through hyper's traits; where two tasks share it, they use the
-/// methods that take `&self`.
+/// Reads and writes one connection. The HTTP libraries use it through hyper's traits; tasks that share a
+/// connection use the methods that take `&self`.
 pub trait Stream: Read + Write + Unpin + Send + Sync + 'static {
-    /// Reads; 0 bytes once the other side has ended its sending.
+    /// Reads into `into`, and returns 0 once the other side has shut down its writing.
     fn poll_recv(&self, cx: &mut Context, into: &mut [u8]) -> Poll<io::Result<usize>>;
 
-    /// Writes.
+    /// Writes the buffers in order, and returns how many bytes were written.
     fn poll_send(&self, cx: &mut Context, bytes: &[IoSlice]) -> Poll<io::Result<usize>>;
 
-    /// Writes what fits at once.
+    /// Writes as many bytes as the send buffer takes without waiting, and returns their number.
     ///
     /// # Errors
     ///
-    /// If nothing fits, or the connection is broken.
+    /// Fails if the send buffer is full or the connection is broken.
     fn try_send(&self, bytes: &[u8]) -> io::Result<usize>;
 
-    /// Ends the sending after what was written.
+    /// Shuts down the writing side once everything that was written is sent.
     fn shutdown_write(&self);
 
-    /// Whether there is nothing to read: no bytes, no end and no error. Asks the system.
+    /// Returns whether there is nothing to read: no bytes, no end of stream and no error. Makes a system
+    /// call.
     fn is_idle(&self) -> bool;
 
-    /// Whether the other side has ended its sending or the connection is broken, even behind unread bytes.
+    /// Returns whether the other side has shut down its writing or the connection is broken, even if bytes
+    /// are still unread.
     fn is_read_closed(&self) -> bool;
 }
 
-/// A listening socket.
+/// Accepts connections on an address.
 pub trait Listener: Send + Sync + 'static {
-    /// What it accepts.
+    /// Represents an accepted connection.
     type Stream: Stream;
 
-    /// The next connection.
+    /// Waits for the next connection and returns it.
     ///
-    /// Cancel safe.
+    /// This method is cancel safe.
     fn accept(&self) -> impl Future<Output = io::Result<Self::Stream>> + Send;
 
-    /// A connection that waits in the backlog, if any does. Asks the system.
+    /// Returns a connection from the backlog, if there is one. Makes a system call.
     fn try_accept(&self) -> Option<Self::Stream>;
 
-    /// The address it listens on.
+    /// Returns the address it listens on.
     ///
     /// # Errors
     ///
-    /// If the system can't tell.
+    /// Fails if the system does not report the address.
     fn local_addr(&self) -> io::Result<SocketAddr>;
 }
 
-/// Ticks as a standard duration; zero if negative.
+/// Converts ticks to a standard duration; negative values become zero.
 pub fn duration(ticks: Ticks) -> Duration {
     ticks.into()
 }
--- a/crates/balancer/src/runtime/hyper.rs
+++ b/crates/balancer/src/runtime/hyper.rs
@@ -1,4 +1,4 @@
-//! A [`Runtime`] as the HTTP libraries ask for it.
+//! Adapts a [`Runtime`] to hyper's executor and timer traits.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -9,7 +9,7 @@
 
 use crate::runtime::Runtime;
 
-/// Executor and timer on a [`Runtime`].
+/// Implements hyper's executor and timer on a [`Runtime`].
 #[derive(Clone)]
 pub struct HyperRuntime<R>(pub R);
 
--- a/crates/balancer/src/runtime/inherit.rs
+++ b/crates/balancer/src/runtime/inherit.rs
@@ -1,4 +1,4 @@
-//! Listeners that the platform hands to a process as open file descriptors.
+//! Takes over listeners that the platform passes to the process as open file descriptors.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,56 +14,56 @@
 const FIRST_INHERITED_DESCRIPTOR: RawFd = 3;
 const MAX_DESCRIPTOR: RawFd = 1 << 20;
 
-/// Why a descriptor can't be used as a listener.
+/// States why a descriptor can't be used as a listener.
 #[derive(Debug, Error)]
 pub enum InheritError {
-    /// It is not a number.
-    #[error("a number expected, not {0:?}")]
+    /// The value is not a number.
+    #[error("{0:?} is not a descriptor number")]
     NotANumber(String),
-    /// No such descriptor is open.
-    #[error("{0} is no descriptor of this process")]
+    /// The descriptor is not open, or is one of the standard streams.
+    #[error("descriptor {0} is a standard stream or is not open")]
     NotOpen(RawFd),
-    /// It does not listen.
-    #[error("{0} is not a listening socket")]
+    /// The descriptor is not a listening socket.
+    #[error("descriptor {0} is not a listening socket")]
     NotListening(RawFd),
-    /// It listens on another address than the configured one.
-    #[error("{descriptor} listens on {found}, not on {expected}", found = describe(*found))]
+    /// The socket listens on another address than the configured one.
+    #[error("descriptor {descriptor} listens on {found}, expected {expected}", found = describe(*found))]
     WrongAddress {
-        /// The descriptor.
+        /// Identifies the descriptor.
         descriptor: RawFd,
-        /// Its address, if it is one of an IP socket.
+        /// Holds the address of the socket, or `None` if it is not an IP socket.
         found: Option<SocketAddr>,
-        /// The configured address.
+        /// Holds the configured address.
         expected: SocketAddr,
     },
-    /// The system refused to set it up.
-    #[error("{descriptor}: {source}")]
+    /// The system failed to configure the socket.
+    #[error("descriptor {descriptor}: {source}")]
     Setup {
-        /// The descriptor.
+        /// Identifies the descriptor.
         descriptor: RawFd,
-        /// What the system said.
+        /// Holds the system's error.
         source: io::Error,
     },
 }
 
 fn describe(address: Option<SocketAddr>) -> String {
-    address.map_or("no address".to_string(), |address| address.to_string())
+    address.map_or("no IP address".to_string(), |address| address.to_string())
 }
 
-/// Takes over the listener that the platform opened under the descriptor `number`. It has to listen on `expected`, of
-/// which port 0 stands for any address.
+/// Takes over the listener that the platform opened under the descriptor `number`. The socket must listen on
+/// `expected`; port 0 in `expected` accepts any address.
 ///
 /// # Errors
 ///
-/// If there is no such listener.
+/// Fails if the descriptor is not open, is not a listener, or listens on another address.
 pub fn inherit_listener(
     number: &str,
     expected: SocketAddr,
     send_buffer: u32,
 ) -> Result<SystemListener, InheritError> {
     let descriptor = parse_descriptor(number)?;
-    // SAFETY: the descriptor is open, and nothing else in this process uses or closes a descriptor that the platform
-    // handed to it by number.
+    // SAFETY: the descriptor is open, and nothing else in this process uses or closes a descriptor that the
+    // platform passed to it by number.
     let socket = unsafe { Socket::from_raw_fd(descriptor) };
     if !socket.is_listener().unwrap_or(false) {
         return Err(InheritError::NotListening(descriptor));
@@ -75,7 +75,8 @@
     set_up(socket, send_buffer).map_err(|source| InheritError::Setup { descriptor, source })
 }
 
-/// Checks that the descriptor is open, and none of the standard streams: dropping a socket closes it.
+/// Checks that the descriptor is open and not a standard stream, which would be closed when the socket is
+/// dropped.
 fn parse_descriptor(number: &str) -> Result<RawFd, InheritError> {
     let descriptor: RawFd = number.parse().map_err(|_| InheritError::NotANumber(number.to_string()))?;
     let is_in_range = (FIRST_INHERITED_DESCRIPTOR..MAX_DESCRIPTOR).contains(&descriptor);
--- a/crates/balancer/src/runtime/log.rs
+++ b/crates/balancer/src/runtime/log.rs
@@ -1,5 +1,5 @@
-//! The log on standard error, which never blocks its callers: a thread of its own writes the lines, at most a few a
-//! second, and logs how many it suppressed.
+//! Writes the log to standard error without blocking callers. A separate thread writes the lines; their rate
+//! is limited, and the number of suppressed lines is logged.
 
 use std::fmt::Arguments;
 use std::sync::mpsc::{SyncSender, sync_channel};
@@ -7,10 +7,10 @@
 use std::time::{Duration, Instant};
 
 const MAX_LINES_PER_SECOND: u32 = 20;
-/// Lines beyond the queue are dropped.
+/// Maximum number of lines that wait to be written; further lines are dropped.
 const MAX_QUEUED_LINES: usize = 256;
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
-/// Name of the thread that writes.
+/// Names the thread that writes the log.
 pub const THREAD_NAME: &str = "log";
 
 struct RateWindow {
@@ -23,11 +23,11 @@
 
 enum Entry {
     Line(String),
-    /// Answered once all entries before it are written.
+    /// Asks for a signal once all entries before it are written.
     Flush(SyncSender<()>),
 }
 
-/// The number of lines that were suppressed before this one, or `None` if this one is suppressed as well.
+/// Returns the number of lines that were suppressed before this one, or `None` if this one is suppressed too.
 fn admit_line() -> Option<u32> {
     let mut window = RATE_WINDOW.lock().ok()?;
     let now = Instant::now();
@@ -61,7 +61,8 @@
     }
 }
 
-/// Waits until all lines are written, but not long: the reader may have stalled.
+/// Waits until all lines are written, but at most `FLUSH_TIMEOUT`, since the reader of the log may have
+/// stalled.
 pub fn flush() {
     let (done, written) = sync_channel(1);
     if let Some(Some(entries)) = WRITER.get()
@@ -71,11 +72,11 @@
     }
 }
 
-/// Queues a line, or counts it as suppressed.
+/// Queues a line, or counts it as suppressed if the rate limit is reached.
 pub fn write_line(line: Arguments) {
     if let Some(suppressed) = admit_line() {
         if suppressed > 0 {
-            enqueue(format!("{suppressed} log lines suppressed"));
+            enqueue(format!("server: suppressed {suppressed} log lines"));
         }
         enqueue(line.to_string());
     }
--- a/crates/balancer/src/runtime/system.rs
+++ b/crates/balancer/src/runtime/system.rs
@@ -1,4 +1,4 @@
-//! The [`Runtime`] of a serving balancer: the system's clock and sockets, and tokio's tasks.
+//! Implements the [`Runtime`] of a serving balancer on the system's clock and sockets and on tokio's tasks.
 
 use std::fmt::Arguments;
 use std::future::Future;
@@ -21,10 +21,10 @@
 
 pub use crate::runtime::inherit::inherit_listener;
 
-/// The system's sockets and clock.
+/// Provides the system's sockets and clock.
 ///
-/// Unix time is read once at the start and continued by the monotonic clock: a step of the system's clock would else end
-/// all requests at once.
+/// The Unix time is read once at the start and advanced by the monotonic clock, since a forward step of the
+/// wall clock would otherwise make all requests time out at once.
 #[derive(Clone, Copy)]
 pub struct SystemRuntime {
     unix_at_start: Duration,
@@ -32,12 +32,13 @@
     event_loop: &'static EventLoopProgress,
 }
 
-/// What the event loop has polled and fully handled. A connection that is accepted in one turn is read in the next.
+/// Tracks up to which time the event loop has handled all input. A connection that is accepted in one turn of
+/// the loop is read in the next, so a poll counts as handled after two turns.
 #[derive(Default)]
 struct EventLoopProgress {
     polled_at: AtomicI64,
     previous_polled_at: AtomicI64,
-    /// What had arrived by then was accepted and read.
+    /// The time up to which all input that had arrived was accepted and read.
     caught_up_to: AtomicI64,
 }
 
@@ -54,7 +55,8 @@
 }
 
 impl SystemRuntime {
-    /// A runtime whose clock starts now. Leaks a few bytes: each process needs one.
+    /// Creates a runtime whose clock starts now. Leaks a few bytes, which is harmless since each process
+    /// creates one.
     pub fn start() -> SystemRuntime {
         SystemRuntime {
             unix_at_start: SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default(),
@@ -63,11 +65,11 @@
         }
     }
 
-    /// The tokio runtime, of one thread, that serves clients.
+    /// Creates the single-threaded tokio runtime that serves clients.
     ///
     /// # Errors
     ///
-    /// If the system has no descriptor for it.
+    /// Fails if the system has no free file descriptor for its event queue.
     pub fn tokio_runtime(&self) -> io::Result<tokio::runtime::Runtime> {
         let runtime = *self;
         let event_loop = self.event_loop;
@@ -112,7 +114,7 @@
     fn listen(&self, at: SocketAddr, send_buffer: u32, backlog: u32) -> io::Result<SystemListener> {
         let socket = if at.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
         socket.set_reuseaddr(true)?;
-        // Accepted connections inherit it.
+        // Accepted connections inherit the size of the send buffer.
         socket.set_send_buffer_size(send_buffer)?;
         socket.bind(at)?;
         socket.listen(backlog).map(SystemListener)
@@ -123,7 +125,7 @@
     }
 }
 
-/// A TCP listener.
+/// Accepts TCP connections.
 pub struct SystemListener(TcpListener);
 
 impl SystemListener {
@@ -153,7 +155,7 @@
     }
 }
 
-/// A TCP connection.
+/// Reads and writes one TCP connection.
 pub struct SystemStream(TokioIo<TcpStream>);
 
 impl Stream for SystemStream {
@@ -191,7 +193,8 @@
     }
 
     fn is_read_closed(&self) -> bool {
-        // Polled once, without waiting: unread bytes keep the connection ready.
+        // Polled once without waiting. Unread bytes keep the connection ready, so readiness alone says
+        // nothing.
         let ready = pin!(self.0.inner().ready(Interest::READABLE));
         let ready = ready.poll(&mut Context::from_waker(Waker::noop()));
         matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed())
--- a/crates/balancer/src/sync.rs
+++ b/crates/balancer/src/sync.rs
@@ -1,4 +1,4 @@
-//! Locking of standard mutexes.
+//! Locks standard mutexes.
 
 use std::sync::{Mutex, MutexGuard};
 
@@ -6,7 +6,7 @@
 ///
 /// # Panics
 ///
-/// If another thread panicked while it held the lock: the process is not meant to go on after that.
+/// Panics if another thread panicked while it held the lock, since the process must not go on after that.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().expect("mutex is not poisoned")
 }
