--- a/crates/balancer/src/admin.rs
+++ b/crates/balancer/src/admin.rs
@@ -1,5 +1,5 @@
-//! The admin API: readiness, metrics, recovery status, members, permits, and manual overrides. It runs on a thread of
-//! its own and does not wait for the tasks that serve requests.
+//! Implements the admin API: readiness, metrics, recovery status, members, permits and manual overrides. It
+//! runs on a separate thread and does not wait for the tasks that serve requests.
 
 mod error;
 mod listener;
@@ -32,60 +32,61 @@
 pub use listener::{MAX_CONNECTIONS, serve};
 pub use store::{FileStore, TextStore};
 
-/// How often overrides of sibling processes and of the fleet are taken over.
+/// Interval at which overrides of sibling processes and of the fleet are applied.
 const OVERRIDE_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What operators can ask of a balancer.
+/// Answers the calls of operators.
 pub struct AdminApi<R: Runtime> {
-    /// Clock, tasks and log.
+    /// Provides the clock, tasks and the log.
     pub runtime: R,
-    /// Told of overrides.
+    /// Receives the endpoint updates that follow from overrides.
     pub dispatcher: Dispatcher,
-    /// Told of overrides.
+    /// Receives the same updates, and closes idle connections to ejected endpoints.
     pub upstream_client: Arc<UpstreamClient<R>>,
-    /// The endpoint list, over which overrides are laid.
+    /// Holds the endpoint list, to which overrides are applied.
     pub discovery: Arc<Mutex<DiscoveryState>>,
-    /// Counters of requests and attempts.
+    /// Counts requests and attempts.
     pub metrics: Arc<Metrics>,
-    /// Whether the process serves.
+    /// Tells whether the process serves clients.
     pub readiness: Arc<Readiness>,
-    /// State kept across restarts, if there is any.
+    /// Keeps state across restarts, if the fleet file names a state directory.
     pub recovery: Option<Arc<RecoveryState>>,
-    /// The other balancers, if they are known.
+    /// Holds what is known of the other balancers, if the fleet file has a `[peers]` table.
     pub peers: Option<Arc<SharedPeerState>>,
-    /// The manual overrides of this balancer.
+    /// Stores the manual overrides of this balancer.
     pub override_store: Arc<dyn TextStore>,
-    /// Overrides for the whole fleet; only with `peers`.
+    /// Stores the overrides for the whole fleet; set only together with `peers`.
     pub fleet_overrides: Option<Arc<FleetOverrides>>,
 }
 
-/// The overrides for the whole fleet, as they are stored for the next process.
+/// Stores the overrides for the whole fleet, so that the next process has them.
 pub struct FleetOverrides {
-    /// Where they are stored.
+    /// Holds their text.
     pub store: Arc<dyn TextStore>,
-    /// The author of overrides that are set here.
+    /// Identifies this balancer as the author of overrides that are set here.
     pub balancer_id: NodeId,
+    /// The revision of the register that was last stored.
     saved_revision: AtomicU64,
 }
 
 impl FleetOverrides {
-    /// The overrides as the balancer of that name stores them.
+    /// Creates the storage of the balancer of this name.
     pub fn new(store: Arc<dyn TextStore>, name: &str) -> FleetOverrides {
         FleetOverrides { store, balancer_id: NodeId::from_name(name), saved_revision: AtomicU64::new(0) }
     }
 }
 
-/// What an operator wants done with an endpoint.
+/// Names what an operator does with an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OverrideAction {
-    /// Send nothing new to it.
+    /// Stops sending new requests to it.
     Eject,
-    /// Undo the ejection.
+    /// Undoes the ejection.
     Restore,
 }
 
 impl OverrideAction {
-    /// The state of the endpoint afterwards, for the log.
+    /// Returns the state of the endpoint after the action, for the log.
     fn result_name(self) -> &'static str {
         match self {
             OverrideAction::Eject => "ejected",
@@ -94,18 +95,18 @@
     }
 }
 
-/// Reads the stored overrides. What can't be read is logged, and does not stop a start.
+/// Reads the stored overrides. Logs what can't be read, and starts without it.
 pub fn read_overrides<R: Runtime>(runtime: &R, store: &dyn TextStore) -> ManualOverrides {
     let text = match store.read() {
         Ok(text) => text,
         Err(error) => {
-            log_line!(*runtime, "manual overrides could not be read: {error}");
+            log_line!(*runtime, "manual override: could not read the stored overrides: {error}");
             return ManualOverrides::default();
         }
     };
     let decoded = ManualOverrides::decode(&text);
     if decoded.damaged_lines > 0 {
-        log_line!(*runtime, "manual overrides: {} lines are damaged and ignored", decoded.damaged_lines);
+        log_line!(*runtime, "manual override: ignored {} damaged lines", decoded.damaged_lines);
     }
     decoded.overrides
 }
@@ -117,7 +118,8 @@
 
     fn metrics_text(&self) -> String {
         let counts = self.discovery().endpoint_counts();
-        // Manually ejected endpoints count as draining to the dispatcher, so none is counted twice.
+        // The dispatcher sees manually ejected endpoints as draining and leaves them out, so none is counted
+        // twice.
         let avoided = self.dispatcher.avoided_endpoints(self.runtime.now()) + counts.ejected;
         let recovery = self.recovery.as_ref().map(|recovery| recovery.metrics());
         let peers = self.peers.as_ref().map(|peers| peers.snapshot().metrics);
@@ -134,8 +136,8 @@
         peers.overrides().get(name).is_some_and(|value| value.is_ejected)
     }
 
-    /// Ejects or restores an endpoint for this balancer: stored first, then applied, so that a crash after the response
-    /// does not forget it.
+    /// Ejects or restores an endpoint for this balancer. The override is stored before it is applied, so that
+    /// it survives a crash after the response.
     fn set_override(&self, name: &str, action: OverrideAction) -> Result<(), AdminError> {
         let now = self.runtime.now();
         let warm_since = {
@@ -155,7 +157,7 @@
             overrides.encode()
         });
         if let Err(error) = stored {
-            log_line!(self.runtime, "manual overrides could not be saved: {error}");
+            log_line!(self.runtime, "manual override: could not store the overrides: {error}");
             return Err(AdminError::Store(error));
         }
         if !has_room {
@@ -166,8 +168,8 @@
         Ok(())
     }
 
-    /// Ejects or restores an endpoint for the whole fleet: stored first, then applied; other balancers are told by the
-    /// peer thread.
+    /// Ejects or restores an endpoint for the whole fleet. The override is stored before it is applied; the
+    /// peer thread sends it to the other balancers.
     fn set_fleet_override(&self, name: &str, action: OverrideAction) -> Result<Override, AdminError> {
         let (Some(peers), Some(fleet)) = (&self.peers, &self.fleet_overrides) else {
             return Err(AdminError::NoPeers);
@@ -184,7 +186,7 @@
             register.encode()
         });
         if let Err(error) = stored {
-            log_line!(self.runtime, "fleet overrides could not be saved: {error}");
+            log_line!(self.runtime, "fleet override: could not store the overrides: {error}");
             return Err(AdminError::Store(error));
         }
         let value = result?;
@@ -195,7 +197,7 @@
         Ok(value)
     }
 
-    /// Takes over fleet overrides that a sibling process stored, and stores those that other balancers told.
+    /// Loads the fleet overrides that a sibling process stored, and stores those that other balancers sent.
     fn sync_fleet_overrides(&self) {
         let (Some(peers), Some(fleet)) = (&self.peers, &self.fleet_overrides) else { return };
         let Ok(text) = fleet.store.read() else { return };
@@ -212,18 +214,20 @@
         }
         match fleet.store.update(&mut |text| merge_saved(now, text, &known).encode()) {
             Ok(()) => fleet.saved_revision.store(known.revision(), Ordering::Relaxed),
-            // Tried again at the next poll.
-            Err(error) => log_line!(self.runtime, "fleet overrides could not be saved: {error}"),
+            // The next poll tries again.
+            Err(error) => {
+                log_line!(self.runtime, "fleet override: could not store the overrides: {error}");
+            }
         }
     }
 
-    /// Applies the stored overrides, before the first list.
+    /// Applies the stored overrides. Called before the first endpoint list is applied.
     pub fn load_saved_overrides(&self) {
         self.sync_fleet_overrides();
         self.sync_overrides();
     }
 
-    /// Applies the overrides of this balancer, whichever process stored them, and those of the fleet.
+    /// Applies the stored overrides of this balancer and of the fleet, whichever process stored them.
     fn sync_overrides(&self) {
         let Ok(text) = self.override_store.read() else { return };
         let mut overrides = ManualOverrides::decode(&text).overrides;
@@ -233,7 +237,7 @@
             let warm_since = self.runtime.now() - discovery.warm_up_time();
             overrides.merge_fleet_overrides(&fleet_overrides, warm_since);
         }
-        // All under the lock of the list, so that no older list is applied after it.
+        // The lock is held until the end, so that no older endpoint list is applied after these updates.
         let updates = discovery.set_overrides(overrides);
         if updates.is_empty() {
             return;
@@ -245,7 +249,7 @@
     }
 }
 
-/// The stored fleet overrides with those that this process knows.
+/// Merges the stored fleet overrides with those that this process knows.
 fn merge_saved(now: Timestamp, text: &str, known: &OverrideRegister) -> OverrideRegister {
     let mut register = OverrideRegister::decode(now, text).register;
     for (name, registered) in known.iter() {
@@ -255,7 +259,7 @@
     register
 }
 
-/// Takes over overrides that other processes set. Runs forever.
+/// Applies the overrides that other processes set. Never returns.
 pub async fn poll_overrides<R: Runtime>(api: Arc<AdminApi<R>>) {
     loop {
         api.runtime.sleep(OVERRIDE_POLL_INTERVAL).await;
--- a/crates/balancer/src/admin/error.rs
+++ b/crates/balancer/src/admin/error.rs
@@ -1,44 +1,44 @@
-//! Errors of the admin API.
+//! Defines the errors of the admin API.
 
 use std::io;
 
 use axum::http::StatusCode;
 use axum::response::{IntoResponse, Response};
-use doorproxy_fleet_health::operator_overrides::OverrideError;
+use doorproxy_fleet_health::operator_overrides::{MAX_NAME_BYTES, OverrideError};
 use thiserror::Error;
 
-/// Why a call is refused. Its text is the body of the response.
+/// States why a call is refused. The text is the body of the response.
 #[derive(Debug, Error)]
 pub enum AdminError {
-    /// No endpoint of that name is listed.
-    #[error("no upstream {0}")]
+    /// The endpoint list has no endpoint of this name.
+    #[error("endpoint {0:?} is not in the endpoint list")]
     UnknownEndpoint(String),
     /// The fleet file does not name the other balancers.
-    #[error("this process knows no others: its fleet file has no [peers]")]
+    #[error("fleet file: [peers] is missing; this call needs it")]
     NoPeers,
     /// The fleet file names no state directory.
-    #[error("this process keeps no state: its fleet file names no folder")]
+    #[error("fleet file: [state] folder is missing; this call needs it")]
     NoState,
     /// The fleet file names no such permit.
-    #[error("the fleet file names no permit {0}")]
+    #[error("permit {0:?} is not in the fleet file")]
     UnknownPermit(String),
     /// The override could not be stored.
-    #[error("not kept: {0}")]
+    #[error("the override could not be stored: {0}")]
     Store(#[source] io::Error),
-    /// The limit of ejected endpoints is reached.
-    #[error("too many are out")]
+    /// The maximum number of endpoints is ejected.
+    #[error("too many endpoints are ejected; restore others first")]
     TooManyEjected,
     /// The name does not fit into a message between balancers.
-    #[error("a shorter id of an upstream expected")]
+    #[error("the endpoint name is too long; expected at most {MAX_NAME_BYTES} bytes")]
     InvalidName,
     /// The body is not the name of one endpoint.
-    #[error("one id of an upstream expected as the body")]
+    #[error("body: not an endpoint name; expected exactly one")]
     ExpectedEndpoint,
     /// The body is not a permit's name with an optional time.
-    #[error("a permit's name expected as the body, and seconds behind it")]
+    #[error("body: not a permit request; expected NAME or NAME SECONDS")]
     ExpectedPermit,
-    /// The endpoint was restored here, but the fleet override still ejects it.
-    #[error("{0} is back here, and out for the whole fleet until that is called back")]
+    /// The endpoint is restored on this balancer, but a fleet override still ejects it.
+    #[error("endpoint {0:?} is restored on this balancer, but a fleet override still ejects it")]
     EjectedByFleet(String),
 }
 
--- a/crates/balancer/src/admin/listener.rs
+++ b/crates/balancer/src/admin/listener.rs
@@ -1,4 +1,4 @@
-//! The listener of the admin API: a few connections of one call each.
+//! Accepts the connections of the admin API. Their number is limited, and each serves one call.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -17,25 +17,25 @@
 use crate::runtime::{Listener, Runtime};
 
 const MAX_HEAD_BYTES: usize = 8 << 10;
-/// Callers wait a second for a response.
+/// Maximum duration of a call; callers wait one second for a response.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// Concurrent connections; one more closes the oldest.
+/// Maximum number of concurrent connections; a further one closes the oldest.
 pub const MAX_CONNECTIONS: usize = 8;
 
-/// Serves the admin API. Runs forever.
+/// Serves the admin API. Never returns.
 pub async fn serve<R: Runtime>(listener: R::Listener, api: AdminApi<R>) {
     let runtime = api.runtime.clone();
     let api = Arc::new(api);
     let router = routes::router(api.clone());
     runtime.spawn(poll_overrides(api));
-    // The oldest first. Dropping a sender closes its connection.
+    // Ordered from the oldest call to the newest. Dropping a sender closes its connection.
     let mut calls: VecDeque<oneshot::Sender<()>> = VecDeque::new();
     loop {
         let stream = match listener.accept().await {
             Ok(stream) => stream,
             Err(error) => {
-                log_line!(runtime, "admin API: accept failed: {error}");
+                log_line!(runtime, "admin: accept failed: {error}");
                 runtime.sleep(ACCEPT_RETRY_INTERVAL).await;
                 continue;
             }
@@ -63,6 +63,6 @@
         service_fn(move |request: hyper::Request<Incoming>| router.clone().call(request.map(Body::new)));
     let mut http = http1::Builder::new();
     http.keep_alive(false).max_buf_size(MAX_HEAD_BYTES);
-    // How a caller ends its connection is of no interest.
+    // An error only means that the caller ended its connection early.
     let _ = http.serve_connection(stream, service).await;
 }
--- a/crates/balancer/src/admin/overrides.rs
+++ b/crates/balancer/src/admin/overrides.rs
@@ -1,5 +1,5 @@
-//! Manual overrides: endpoints that operators have ejected, and those that they restored recently, as they are stored
-//! for the next process of this balancer.
+//! Defines the manual overrides, which are the endpoints that operators have ejected or recently restored,
+//! and the text in which they are stored for the next process of this balancer.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,37 +9,37 @@
 
 pub use crate::admin::store::{FileStore, TextStore};
 
-/// More endpoints than a fleet has; bounds the file.
+/// Limits the file; fleets have fewer endpoints than this.
 const MAX_OVERRIDES: usize = 4096;
 
-/// Which endpoints are ejected, and which were restored when.
+/// Holds which endpoints are ejected, and when others were restored.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ManualOverrides {
     ejected: BTreeSet<String>,
     restored_at: BTreeMap<String, Timestamp>,
 }
 
-/// What was read of a file.
+/// Holds what was read from a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DecodedOverrides {
-    /// The overrides of all intact lines.
+    /// Holds the overrides of all intact lines.
     pub overrides: ManualOverrides,
-    /// How many lines are damaged.
+    /// Counts the damaged lines.
     pub damaged_lines: usize,
 }
 
 impl ManualOverrides {
-    /// Whether an endpoint is ejected.
+    /// Returns whether an endpoint is ejected.
     pub fn is_ejected(&self, name: &str) -> bool {
         self.ejected.contains(name)
     }
 
-    /// When an endpoint was restored, if recently: its process started by then at the latest.
+    /// Returns when an endpoint was restored, if it was recently. Its process started at that time or before.
     pub fn restored_since(&self, name: &str) -> Option<Timestamp> {
         self.restored_at.get(name).copied()
     }
 
-    /// Ejects an endpoint. False if there are too many already.
+    /// Ejects an endpoint. Returns false if the maximum number of endpoints is ejected already.
     pub fn eject(&mut self, name: &str) -> bool {
         self.restored_at.remove(name);
         let has_room = self.ejected.len() < MAX_OVERRIDES || self.ejected.contains(name);
@@ -49,7 +49,7 @@
         has_room
     }
 
-    /// Restores an endpoint, and forgets those that were restored before `warm_since`: they have warmed up.
+    /// Restores an endpoint, and forgets those that were restored by `warm_since`, since they have warmed up.
     pub fn restore(&mut self, name: &str, now: Timestamp, warm_since: Timestamp) {
         self.restored_at.retain(|_, at| *at > warm_since);
         if self.ejected.remove(name) {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Adds the overrides for the whole fleet. What is ejected here stays so.
+    /// Adds the overrides for the whole fleet. Endpoints that are ejected on this balancer stay ejected.
     pub fn merge_fleet_overrides(&mut self, register: &OverrideRegister, warm_since: Timestamp) {
         for (name, registered) in register.iter() {
             let at = registered.learned_at;
@@ -70,7 +70,7 @@
         }
     }
 
-    /// All names whose override differs.
+    /// Returns the names of all endpoints whose override differs.
     pub fn changed_names(&self, other: &ManualOverrides) -> BTreeSet<String> {
         let names = [self, other]
             .into_iter()
@@ -82,8 +82,8 @@
         names.filter(differs).cloned().collect()
     }
 
-    /// Reads the intact lines of a file. Each has a checksum: a line that was cut off would eject an endpoint whose name
-    /// is the beginning of another's.
+    /// Reads the intact lines of a file. Each line has a checksum, since a truncated line could eject another
+    /// endpoint whose name is a prefix of the written one.
     pub fn decode(text: &str) -> DecodedOverrides {
         let mut overrides = ManualOverrides::default();
         let mut damaged_lines = 0;
@@ -114,7 +114,7 @@
         Some(())
     }
 
-    /// The text of the file.
+    /// Returns the text of the file.
     pub fn encode(&self) -> String {
         let ejected = self.ejected.iter().map(|name| format!("out {name}"));
         let restored = self.restored_at.iter().map(|(name, at)| format!("back {} {name}", at.0));
--- a/crates/balancer/src/admin/routes.rs
+++ b/crates/balancer/src/admin/routes.rs
@@ -1,4 +1,4 @@
-//! The calls of the admin API, by path.
+//! Maps the paths of the admin API to its calls.
 
 use std::sync::Arc;
 
@@ -14,9 +14,9 @@
 use crate::admin::{AdminApi, AdminError, OverrideAction};
 use crate::runtime::Runtime;
 
-/// Longest body, in bytes: longer than any endpoint name.
+/// Maximum size of a body in bytes, which is more than any endpoint name has.
 const MAX_BODY_BYTES: usize = 512;
-/// Longest time for which a permit may be asked for, in seconds.
+/// Maximum time for which a permit may be requested, in seconds.
 const MAX_PERMIT_SECONDS: f64 = 86_400.0;
 
 type ApiState<R> = State<Arc<AdminApi<R>>>;
@@ -127,22 +127,22 @@
     Ok(format!("{status}\n"))
 }
 
-/// Empty if the body is too long or broke off: no call has an empty body.
+/// Returns the body, or nothing if it is too long or broke off. Every call rejects an empty body.
 async fn read_body(request: Request) -> Bytes {
     let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await;
     body.map(|body| body.to_bytes()).unwrap_or_default()
 }
 
-/// A call for a permit.
+/// Holds the parameters of a permit call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PermitRequest<'a> {
-    /// The permit.
+    /// Names the permit.
     pub name: &'a str,
-    /// For how long its lease is to be renewed.
+    /// Says for how long its lease is renewed.
     pub renewal: Ticks,
 }
 
-/// Parses `NAME` or `NAME SECONDS`.
+/// Parses a body of the form `NAME` or `NAME SECONDS`.
 pub fn parse_permit_request(body: &[u8]) -> Option<PermitRequest<'_>> {
     let mut words = std::str::from_utf8(body).ok()?.split_ascii_whitespace();
     let name = words.next()?;
@@ -154,7 +154,7 @@
     words.next().is_none().then_some(PermitRequest { name, renewal })
 }
 
-/// Parses the name of one endpoint, which may have white space around it.
+/// Parses the name of exactly one endpoint, which may be surrounded by white space.
 pub fn parse_endpoint_name(body: &[u8]) -> Option<&str> {
     let name = std::str::from_utf8(body).ok()?.trim_ascii();
     let is_separator = |c: char| c.is_whitespace() || c.is_control() || c == ',';
--- a/crates/balancer/src/admin/store.rs
+++ b/crates/balancer/src/admin/store.rs
@@ -1,4 +1,4 @@
-//! Text files that several processes of one balancer share.
+//! Stores text in files that several processes of one balancer share.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, Write as _};
@@ -10,40 +10,43 @@
 const MAX_LOCK_ATTEMPTS: u32 = 50;
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A text that outlives the process and may be shared with others.
+/// Stores a text that outlives the process and may be shared with other processes.
 pub trait TextStore: Send + Sync {
-    /// The text; empty if none was ever written.
+    /// Returns the text, or an empty one if none was ever written.
     ///
     /// # Errors
     ///
-    /// If it can't be read.
+    /// Fails if the text can't be read.
     fn read(&self) -> io::Result<String>;
 
-    /// Replaces the text by what `make` returns for it, while no other process does. An equal text is not written.
+    /// Replaces the text by what `make` returns for it, while other processes are locked out. An unchanged
+    /// text is not written.
     ///
     /// # Errors
     ///
-    /// If the text can't be read or written, or another process holds it for half a second.
+    /// Fails if the text can't be read or written, or another process holds the lock for half a second.
     fn update(&self, make: &mut dyn FnMut(&str) -> String) -> io::Result<()>;
 }
 
-/// A file, with a second one that is locked while it is changed. The system releases the lock if the process dies.
+/// Stores a text in a file. A second file is locked during a change; the system releases the lock if the
+/// process dies.
 pub struct FileStore {
     path: PathBuf,
 }
 
 impl FileStore {
-    /// The manual overrides of one balancer.
+    /// Creates the store of the manual overrides of one balancer.
     pub fn for_balancer(directory: &Path, balancer: &str) -> FileStore {
         FileStore { path: directory.join(format!("doorproxy-{}.bans", safe_file_name(balancer))) }
     }
 
-    /// The overrides for the whole fleet, as one balancer knows them.
+    /// Creates the store of the overrides for the whole fleet, as one balancer knows them.
     pub fn for_fleet(directory: &Path, balancer: &str) -> FileStore {
         FileStore { path: directory.join(format!("doorproxy-{}.words", safe_file_name(balancer))) }
     }
 
-    /// Waits half a second at most: callers of the admin API wait for a second.
+    /// Locks the second file. Waits for half a second at most, since callers of the admin API wait for one
+    /// second.
     fn lock(&self) -> io::Result<File> {
         let file = OpenOptions::new().create(true).append(true).open(self.path.with_extension("lock"))?;
         let mut attempts = 0;
@@ -59,7 +62,8 @@
         Ok(file)
     }
 
-    /// Writes a new file and renames it, so that a crash leaves either the old text or the new one.
+    /// Writes a new file and renames it over the old one, so that a crash leaves either the old or the new
+    /// text.
     fn replace(&self, text: &str) -> io::Result<()> {
         let new_path = self.path.with_extension("new");
         let mut file = File::create(&new_path)?;
--- a/crates/balancer/src/metrics.rs
+++ b/crates/balancer/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of one process since its start: the outcomes of its requests, and their text for `/_vars`.
+//! Counts the requests and attempts of one process since its start, and renders the counters for `/_vars`.
 
 use std::fmt::Write as _;
 use std::sync::Arc;
@@ -13,36 +13,37 @@
     failed: AtomicU64,
 }
 
-/// Counters of requests and attempts.
+/// Counts requests and attempts.
 pub struct Metrics {
-    /// By class name, in the order in which they are printed.
+    /// Holds the counts by class name, in the order in which they are printed.
     classes: Vec<(String, OutcomeCounts)>,
     attempts_sent: AtomicU64,
     in_flight: AtomicI64,
 }
 
-/// Values that are current when the metrics are read.
+/// Holds values that are determined when the metrics are read.
 pub struct Gauges {
-    /// Endpoints in the list.
+    /// Counts the endpoints in the list.
     pub listed_endpoints: usize,
-    /// Endpoints to which no requests are sent.
+    /// Counts the endpoints to which no requests are sent.
     pub avoided_endpoints: usize,
 }
 
 impl Metrics {
-    /// Counters for these classes.
+    /// Creates the counters for these classes.
     pub fn new<'a>(class_names: impl Iterator<Item = &'a String>) -> Metrics {
         let classes = class_names.map(|name| (name.clone(), OutcomeCounts::default())).collect();
         Metrics { classes, attempts_sent: AtomicU64::new(0), in_flight: AtomicI64::new(0) }
     }
 
-    /// Counts a request as in flight for as long as the guard is held.
+    /// Counts a request as in flight until the returned guard is dropped.
     pub fn start_request(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         InFlightGuard(self.clone())
     }
 
-    /// Counts the final response to a request. Requests that can't be parsed belong to no class.
+    /// Counts the final response to a request. A request that can't be parsed has no class and is not
+    /// counted.
     pub fn count_outcome(&self, class: &str, outcome: RequestOutcome) {
         let Some((_, counts)) = self.classes.iter().find(|(name, _)| name == class) else { return };
         let counted = match outcome {
@@ -53,12 +54,12 @@
         counted.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts an attempt that was written whole to an endpoint.
+    /// Counts an attempt whose request was written completely to an endpoint.
     pub fn count_attempt(&self) {
         self.attempts_sent.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// The text of `/_vars`.
+    /// Returns the text of `/_vars`.
     pub fn render(&self, gauges: &Gauges) -> String {
         let mut text = String::new();
         let mut line = |name: std::fmt::Arguments, value: i64, form: char| {
@@ -82,14 +83,14 @@
     }
 }
 
-/// How a request ended, as its client sees it.
+/// Classifies how a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// With a successful response.
+    /// The response was successful.
     Succeeded,
-    /// The client may retry.
+    /// The request was rejected, and the client may retry.
     Rejected,
-    /// Any other way.
+    /// The request ended in any other way.
     Failed,
 }
 
@@ -103,7 +104,7 @@
     }
 }
 
-/// A request in flight.
+/// Counts a request as in flight while it exists.
 pub struct InFlightGuard(Arc<Metrics>);
 
 impl InFlightGuard {
--- a/crates/balancer/src/peers.rs
+++ b/crates/balancer/src/peers.rs
@@ -1,5 +1,6 @@
-//! State that the peer thread, which speaks with the other balancers, shares with the admin API: what operators see of
-//! the other balancers, permits, and overrides for the whole fleet. Decisions do not read it.
+//! Holds the state that the admin API shares with the peer thread, which communicates with the other
+//! balancers: the status of the other balancers, permits, and overrides for the whole fleet. The dispatcher
+//! does not read it.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard};
@@ -10,41 +11,41 @@
 
 use crate::sync::lock;
 
-/// What operators see of the other balancers.
+/// Holds the status of the other balancers for operators.
 #[derive(Clone, Debug, Default)]
 pub struct PeersSnapshot {
-    /// For `doorproxy members`.
+    /// Holds the JSON of `doorproxy members`.
     pub members: Value,
-    /// Name and value of each metric.
+    /// Holds the name and value of each metric.
     pub metrics: Vec<(&'static str, i64)>,
 }
 
-/// A permit that this balancer holds or asks for.
+/// Describes a permit that this balancer holds or requests.
 #[derive(Clone, Debug, Default)]
 pub struct Permit {
-    /// It is asked for and renewed until then.
+    /// Says until when the permit is requested and renewed.
     pub requested_until: Option<Timestamp>,
-    /// Fencing token and end of the lease, by the clock of this process.
+    /// Holds the fencing token and the end of the lease by the clock of this process.
     pub lease: Option<(u64, Timestamp)>,
-    /// Who holds it, or why it can't be acquired, for people.
+    /// Says who holds the permit or why it can't be acquired, as text for operators.
     pub reason: String,
 }
 
-/// Minimum time for which a permit is asked for.
+/// Minimum time for which a permit is requested.
 const MIN_REQUEST_TIME: Ticks = Ticks(50_000);
 
-/// See the module.
+/// Shares state between the peer thread and the admin API.
 #[derive(Default)]
 pub struct SharedPeerState {
     snapshot: Mutex<PeersSnapshot>,
-    /// The permits in the fleet file.
+    /// Holds the permits that the fleet file names.
     permits: Mutex<BTreeMap<String, Permit>>,
-    /// Overrides for the whole fleet, as far as this process knows them.
+    /// Holds the overrides for the whole fleet, as far as this process knows them.
     overrides: Mutex<OverrideRegister>,
 }
 
 impl SharedPeerState {
-    /// State with these permits.
+    /// Creates the state with these permits, of which none is held.
     pub fn new(permits: impl IntoIterator<Item = String>) -> SharedPeerState {
         let permits = permits.into_iter().map(|name| (name, Permit::default())).collect();
         SharedPeerState {
@@ -54,28 +55,29 @@
         }
     }
 
-    /// Replaces what operators see.
+    /// Replaces the status of the other balancers.
     pub fn set_snapshot(&self, snapshot: PeersSnapshot) {
         *lock(&self.snapshot) = snapshot;
     }
 
-    /// What operators see.
+    /// Returns the status of the other balancers.
     pub fn snapshot(&self) -> PeersSnapshot {
         lock(&self.snapshot).clone()
     }
 
-    /// All permits.
+    /// Locks and returns all permits.
     pub fn permits(&self) -> MutexGuard<'_, BTreeMap<String, Permit>> {
         lock(&self.permits)
     }
 
-    /// The overrides for the whole fleet. The guard is not held over I/O.
+    /// Locks and returns the overrides for the whole fleet. The guard must not be held during I/O.
     pub fn overrides(&self) -> MutexGuard<'_, OverrideRegister> {
         lock(&self.overrides)
     }
 
-    /// Asks for a permit, to be renewed for a time, and returns its status: the caller may act for `for_s` seconds from
-    /// before the call. `None` if the fleet file names no such permit.
+    /// Requests a permit, renews it for the given time, and returns its status. A caller that gets the permit
+    /// may act for `for_s` seconds, counted from before its call. Returns `None` if the fleet file names no
+    /// such permit.
     pub fn request_permit(&self, now: Timestamp, name: &str, renewal: Ticks) -> Option<Value> {
         let mut permits = self.permits();
         let permit = permits.get_mut(name)?;
@@ -83,7 +85,8 @@
         Some(permit_status(permit, now))
     }
 
-    /// Releases a permit under which the caller no longer acts. `None` if the fleet file names no such permit.
+    /// Releases a permit and returns its status; the caller must no longer act under it. Returns `None` if
+    /// the fleet file names no such permit.
     pub fn release_permit(&self, now: Timestamp, name: &str) -> Option<Value> {
         let mut permits = self.permits();
         let permit = permits.get_mut(name)?;
