--- a/crates/balancer/src/config.rs
+++ b/crates/balancer/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a balancer: one JSON file, read whole at the start. It maps the names of classes, tenants,
+//! Reads the configuration of a balancer from one JSON file, and maps the names of request classes, tenants,
 //! zones and endpoint kinds to their indices.
 
 mod error;
@@ -19,61 +19,61 @@
 
 pub use error::{ConfigError, ConfigErrorKind};
 
-/// Minimum number of sockets: fewer leave no room for both clients and endpoints.
+/// Minimum number of sockets; fewer do not suffice for clients and endpoints together.
 const MIN_SOCKETS: usize = 64;
 const PATH_VARIABLE: &str = "PROXY_CONFIG";
 const ADMIN_ADDRESS_VARIABLE: &str = "PROXY_CONTROL";
 
-/// The configuration of one balancer.
+/// Holds the configuration of one balancer.
 pub struct Config {
-    /// Name of the balancer, unique in the fleet.
+    /// Names the balancer uniquely in the fleet.
     pub name: String,
-    /// Where clients connect.
+    /// Holds the address to which clients connect.
     pub listen_address: SocketAddr,
-    /// Where operators connect; `None` if there is no admin API.
+    /// Holds the address of the admin API, or `None` if there is no admin API.
     pub admin_address: Option<SocketAddr>,
-    /// Where the discovery service listens.
+    /// Holds the address of the discovery service.
     pub discovery_address: SocketAddr,
-    /// Seed of the random numbers.
+    /// Seeds the random number generator.
     pub seed: u64,
-    /// Sockets of the process.
+    /// Limits the sockets of the process.
     pub max_sockets: usize,
-    /// The endpoints to start with.
+    /// Holds the endpoints to start with.
     pub known_endpoints: EndpointList,
-    /// Hash of all settings: ids and learned state are valid under equal settings only.
+    /// Holds the hash of all settings; ids and learned state are valid only under equal settings.
     pub settings_hash: u64,
-    /// Settings of the decisions.
+    /// Holds the settings of the dispatcher.
     pub settings: Settings,
-    /// Index of each request class.
+    /// Maps the name of each request class to its index.
     pub classes: BTreeMap<String, u16>,
-    /// Index of each tenant.
+    /// Maps the name of each tenant to its index.
     pub tenants: BTreeMap<String, u16>,
-    /// Index of each zone.
+    /// Maps the name of each zone to its index.
     pub zones: BTreeMap<String, u16>,
-    /// Index of each endpoint kind.
+    /// Maps the name of each endpoint kind to its index.
     pub endpoint_kinds: BTreeMap<String, u16>,
-    /// Time for a connection to an endpoint to be established.
+    /// Limits the time in which a connection to an endpoint must be established.
     pub connect_timeout: Ticks,
-    /// Time after which endpoints close an idle connection.
+    /// Holds the time after which endpoints close an idle connection.
     pub keepalive_timeout: Ticks,
 }
 
-/// The path of the file: the one given, or that in `PROXY_CONFIG`.
+/// Returns `path`, or the path in `PROXY_CONFIG` if `path` is `None`.
 ///
 /// # Errors
 ///
-/// If there is neither.
+/// Fails if there is neither.
 pub fn resolve_path(path: Option<PathBuf>) -> Result<PathBuf, ConfigError> {
     let path = path.or_else(|| std::env::var_os(PATH_VARIABLE).map(PathBuf::from));
     path.ok_or_else(|| ConfigErrorKind::NoPath.into())
 }
 
-/// Reads a file. An admin address in `PROXY_CONTROL` takes precedence over that in the file: two processes may share
-/// the file during a handover.
+/// Reads a configuration file. An admin address in `PROXY_CONTROL` takes precedence over that in the file,
+/// since two processes may share the file during a handover.
 ///
 /// # Errors
 ///
-/// If the file can't be read or used.
+/// Fails if the file can't be read or is not a valid configuration.
 pub fn load(path: &Path) -> Result<Arc<Config>, ConfigError> {
     let mut config = std::fs::read_to_string(path)
         .map_err(ConfigErrorKind::from)
@@ -95,11 +95,11 @@
     })
 }
 
-/// Parses the text of a file.
+/// Parses the text of a configuration file.
 ///
 /// # Errors
 ///
-/// If it can't be used.
+/// Fails if the text is not a valid configuration.
 pub fn parse(text: &str) -> Result<Config, ConfigError> {
     parse_file(text).map_err(ConfigError::from)
 }
@@ -136,8 +136,8 @@
 }
 
 impl Config {
-    /// The keys of a newer file whose changes take effect at the next start only, without `known`, which the endpoint
-    /// list has overtaken.
+    /// Returns the changed keys of a newer file that take effect only at the next start. `known` is left out,
+    /// since the list of the discovery service has replaced it.
     pub fn restart_only_changes(&self, newer: &Config) -> Vec<&'static str> {
         let changes = [
             ("listen", self.listen_address != newer.listen_address),
--- a/crates/balancer/src/config/error.rs
+++ b/crates/balancer/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the configuration file.
+//! Defines the errors of the configuration file.
 
 use std::fmt;
 use std::io;
@@ -8,57 +8,57 @@
 use doorproxy::settings::decode::SettingsError;
 use thiserror::Error;
 
-/// A configuration that can't be used, with the path of its file where one is known.
+/// Describes an invalid configuration, with the path of its file where one is known.
 #[derive(Debug)]
 pub struct ConfigError {
-    /// The file.
+    /// Holds the path of the file.
     pub path: Option<PathBuf>,
-    /// What is wrong with it.
+    /// States what is wrong.
     pub kind: ConfigErrorKind,
 }
 
-/// What is wrong with a configuration.
+/// States what is wrong with a configuration.
 #[derive(Debug, Error)]
 pub enum ConfigErrorKind {
-    /// No file was named.
-    #[error("no configuration: give --config FILE or set PROXY_CONFIG")]
+    /// Neither the command line nor the environment names a file.
+    #[error("no configuration file; expected --config FILE or PROXY_CONFIG")]
     NoPath,
     /// The file can't be read.
     #[error("{0}")]
     Read(#[from] io::Error),
-    /// It is not JSON, or a field is missing or of another type.
+    /// The file is not JSON, or a field is missing or has the wrong type.
     #[error("{0}")]
     Json(#[source] serde_json::Error),
-    /// The names within the settings are malformed.
+    /// The lists of names in the settings are malformed.
     #[error("settings: {0}")]
     Names(#[source] serde_json::Error),
     /// The seed is malformed.
-    #[error("a seed of hexadecimal digits expected, not {0:?}")]
+    #[error("seed: {0:?} is not a 64-bit hexadecimal number")]
     Seed(String),
-    /// There are too few sockets for clients and endpoints.
-    #[error("{min} sockets or more expected, not {found}")]
+    /// The sockets do not suffice for clients and endpoints.
+    #[error("limits.sockets: {found} is too few; expected {min} or more")]
     TooFewSockets {
-        /// The minimum.
+        /// Holds the minimum.
         min: usize,
-        /// The configured number.
+        /// Holds the configured number.
         found: usize,
     },
     /// A setting is missing or malformed.
     #[error("settings: expected {0}")]
     Settings(#[from] SettingsError),
     /// Load reports come from probes, which are disabled.
-    #[error("settings: expected limits.probes of true, since report.source is \"probe\"")]
+    #[error("settings: limits.probes is false; expected true, since report.source is \"probe\"")]
     ProbesDisabled,
     /// The admin address in the environment is malformed.
-    #[error("{variable}: an address expected, not {found:?}")]
+    #[error("{variable}: {found:?} is not a socket address; expected IP:PORT")]
     AdminAddress {
-        /// The environment variable.
+        /// Names the environment variable.
         variable: &'static str,
-        /// Its value.
+        /// Holds its value.
         found: String,
     },
     /// The admin API and clients have the same address.
-    #[error("control and listen are both {0}")]
+    #[error("control: {0} is also the listen address; expected another address")]
     SameAddress(SocketAddr),
 }
 
--- a/crates/balancer/src/config/file.rs
+++ b/crates/balancer/src/config/file.rs
@@ -1,4 +1,4 @@
-//! The configuration file as JSON.
+//! Defines the JSON structure of the configuration file.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -33,7 +33,8 @@
     pub name: String,
 }
 
-/// The names in the settings, by which requests and lists refer to them.
+/// Holds the names in the settings by which requests and endpoint lists refer to classes, tenants, zones and
+/// kinds.
 #[derive(Deserialize)]
 pub(super) struct NameTables {
     #[serde(rename = "categories")]
@@ -47,18 +48,18 @@
 }
 
 impl ConfigFile {
-    /// Whether load reports come from probes that are disabled.
+    /// Returns whether load reports come from load probes and these are disabled.
     pub(super) fn has_disabled_probes(&self) -> bool {
         self.settings["report"]["source"] == "probe" && self.settings["limits"]["probes"] == false
     }
 }
 
-/// The index of each name.
+/// Maps each name to its position.
 pub(super) fn index_names(names: impl IntoIterator<Item = String>) -> BTreeMap<String, u16> {
     names.into_iter().zip(0..).collect()
 }
 
-/// The settings as pairs of path and value, the form that their decoder reads.
+/// Converts the settings to pairs of path and value, which their decoder reads.
 pub(super) fn flatten_settings(settings: &Value) -> SettingsFields {
     let mut fields = SettingsFields::default();
     flatten_value(&mut fields, "", settings);
--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery of endpoints: the list as the service sends it, the client that watches it, and the endpoints as the
-//! dispatcher is told of them.
+//! Discovers endpoints: reads the list of the discovery service, watches it for changes, and passes the
+//! endpoints on to the dispatcher.
 
 mod apply;
 mod connector;
--- a/crates/balancer/src/discovery/apply.rs
+++ b/crates/balancer/src/discovery/apply.rs
@@ -1,5 +1,5 @@
-//! Passing endpoint updates on to the connections and the dispatcher. Called under the lock of the [`DiscoveryState`],
-//! so that a manual override comes entirely before or after a list.
+//! Passes endpoint updates on to the connections and the dispatcher. Callers hold the lock of the
+//! [`DiscoveryState`], so that a manual override is applied entirely before or after a list.
 
 use doorproxy::dispatcher::{DiscoveryEvent, Dispatcher};
 use doorproxy::effects::EndpointUpdate;
@@ -26,7 +26,7 @@
     dispatcher.tick(runtime.now(), event);
 }
 
-/// Applies updates of known endpoints that do not come from the discovery service.
+/// Applies updates of known endpoints that have another cause than a response of the discovery service.
 pub fn apply_updates<R: Runtime>(
     now: Timestamp,
     dispatcher: &Dispatcher,
--- a/crates/balancer/src/discovery/connector.rs
+++ b/crates/balancer/src/discovery/connector.rs
@@ -1,4 +1,4 @@
-//! Connections to the discovery service, as the HTTP client opens them.
+//! Opens the HTTP client's connections to the discovery service.
 
 use std::future::Future;
 use std::io;
@@ -38,7 +38,7 @@
     }
 }
 
-/// A stream without TLS or proxy.
+/// Wraps a stream that uses neither TLS nor a proxy.
 pub(super) struct PlainStream<S>(S);
 
 impl<S> Connection for PlainStream<S> {
--- a/crates/balancer/src/discovery/endpoint_list.rs
+++ b/crates/balancer/src/discovery/endpoint_list.rs
@@ -1,45 +1,45 @@
-//! The endpoint list as the discovery service sends it, and as a configuration holds it.
+//! Defines the endpoint list in the form that the discovery service and the configuration file share.
 
 use std::net::SocketAddr;
 
 use serde::Deserialize;
 
-/// A response of the discovery service: a complete snapshot, or the entries that have changed.
+/// Holds a response of the discovery service, which is a complete snapshot or the entries that have changed.
 #[derive(Clone, Deserialize)]
 pub struct EndpointList {
-    /// Version of the list after this response.
+    /// Holds the version of the list after this response.
     pub version: u64,
-    /// Whether all endpoints are in it.
+    /// Tells whether this is a complete snapshot.
     #[serde(rename = "full")]
     pub is_snapshot: bool,
-    /// The entries.
+    /// Holds the entries.
     #[serde(rename = "servers")]
     pub endpoints: Vec<EndpointEntry>,
 }
 
-/// One endpoint in the list.
+/// Describes one endpoint in the list.
 #[derive(Clone, Deserialize)]
 pub struct EndpointEntry {
-    /// Unique among all endpoints.
+    /// Names the endpoint uniquely.
     #[serde(rename = "id")]
     pub name: String,
-    /// Where it listens.
+    /// Holds the address on which it listens.
     #[serde(rename = "addr")]
     pub address: SocketAddr,
-    /// Name of its zone.
+    /// Names its zone.
     pub zone: String,
-    /// Name of its endpoint kind.
+    /// Names its endpoint kind.
     pub kind: String,
-    /// Its cell within the zone.
+    /// Identifies its cell within the zone.
     #[serde(default)]
     pub cell: u16,
-    /// Whether it takes requests.
+    /// Tells whether it accepts requests.
     #[serde(rename = "state")]
     pub status: EntryState,
-    /// Its size, relative to others.
+    /// Holds its capacity relative to other endpoints.
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Start of its process in Unix milliseconds; 0 if unknown.
+    /// Holds the start of its process in Unix milliseconds, or 0 if that is unknown.
     #[serde(default, rename = "started_ms")]
     pub started_at_ms: i64,
 }
@@ -48,16 +48,16 @@
     1.0
 }
 
-/// The state of an endpoint by the list.
+/// Tells the state of an endpoint in the list.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum EntryState {
-    /// It takes requests.
+    /// The endpoint accepts requests.
     Active,
-    /// It is gone.
+    /// The endpoint no longer exists.
     #[serde(rename = "left")]
     Removed,
-    /// It takes no new requests. Unknown states count as this one.
+    /// The endpoint accepts no new requests. Unknown states count as this one.
     #[serde(other)]
     Draining,
 }
--- a/crates/balancer/src/discovery/state.rs
+++ b/crates/balancer/src/discovery/state.rs
@@ -1,4 +1,5 @@
-//! The endpoints of the last list, with the manual overrides laid over it, as the dispatcher is told of them.
+//! Holds the endpoints of the last list, and applies the manual overrides before the dispatcher receives
+//! them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,22 +18,24 @@
 use crate::runtime::Runtime;
 
 const TICKS_PER_MS: i64 = 10;
-/// Shares are divided by weights: an endpoint of none at all would get all or nothing.
+/// Minimum weight: shares are divided by weights, so an endpoint of weight zero would get all requests or
+/// none.
 const MIN_WEIGHT: f64 = 1e-3;
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// What is known of the endpoints of one upstream service.
+/// Holds what is known of the endpoints of one upstream service.
 pub struct DiscoveryState {
     config: Arc<Config>,
     ids: EndpointIds,
-    /// What was last written to the log of each endpoint.
+    /// Holds what was last logged for each endpoint.
     logged: BTreeMap<EndpointId, LoggedEndpoint>,
-    /// The list, by endpoint name.
+    /// Holds the list entries by endpoint name.
     entries: BTreeMap<String, EndpointEntry>,
     overrides: ManualOverrides,
-    /// Endpoints that warm up at this time are left to a sibling process, unless all do.
+    /// If set, endpoints that were warming up at this time are left to a sibling process, unless no other is
+    /// usable.
     warming_delegated_since: Option<Timestamp>,
-    /// `None`: the next request asks for a complete snapshot.
+    /// Holds the known version of the list; with `None`, the next request asks for a complete snapshot.
     version: Option<u64>,
     timing: DiscoveryTiming,
 }
@@ -43,26 +46,26 @@
     address: SocketAddr,
 }
 
-/// Where the next watch begins.
+/// Tells where the next watch begins.
 #[derive(Clone, Copy)]
 pub struct WatchPosition {
-    /// The version to wait for changes after; `None` asks for a complete snapshot.
+    /// Holds the version after which to wait for changes; `None` asks for a complete snapshot.
     pub version: Option<u64>,
-    /// The timing of watches.
+    /// Holds the timing of watches.
     pub timing: DiscoveryTiming,
 }
 
-/// How many endpoints there are.
+/// Counts the endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointCounts {
-    /// Endpoints in the list.
+    /// Counts the endpoints in the list.
     pub listed: usize,
-    /// Those of them that are ejected manually.
+    /// Counts the listed endpoints that are ejected manually.
     pub ejected: usize,
 }
 
 impl DiscoveryState {
-    /// No endpoints yet.
+    /// Creates a state without endpoints.
     pub fn new(config: Arc<Config>) -> DiscoveryState {
         let timing = config.settings.discovery_timing(config.seed);
         DiscoveryState {
@@ -77,26 +80,28 @@
         }
     }
 
-    /// The updates in a list, and the address of each.
+    /// Records the version of a list, and returns its updates and the address of each.
     pub fn to_updates(&mut self, list: &EndpointList) -> (Vec<EndpointUpdate>, Vec<SocketAddr>) {
-        // A service that was restarted counts from the beginning: its changes are no changes to what is known here.
-        let runs_back = !list.is_snapshot && self.version.is_some_and(|known| list.version < known);
-        self.version = (!runs_back).then_some(list.version);
+        // A restarted service counts its versions from the beginning, so its changes don't apply to the known
+        // list.
+        let version_decreased = !list.is_snapshot && self.version.is_some_and(|known| list.version < known);
+        self.version = (!version_decreased).then_some(list.version);
         list.endpoints.iter().map(|entry| (self.update_for(entry), entry.address)).unzip()
     }
 
-    /// Lets the next request ask for a complete snapshot.
+    /// Makes the next request ask for a complete snapshot.
     pub fn forget_version(&mut self) {
         self.version = None;
     }
 
-    /// Where the next watch begins.
+    /// Returns where the next watch begins.
     pub fn watch_position(&self) -> WatchPosition {
         WatchPosition { version: self.version, timing: self.timing }
     }
 
-    /// Leaves endpoints that warm up since the given time to a sibling process, or, with `None`, takes them back: only
-    /// one process of a balancer may send to each what one balancer may. Returns the updates of all listed endpoints.
+    /// Leaves the endpoints that are warming up at the given time to a sibling process, or takes them back
+    /// with `None`. The limits of a warming endpoint hold for a whole balancer, so only one of its processes
+    /// may send to the endpoint. Returns the updates of all listed endpoints.
     pub fn delegate_warming(&mut self, since: Option<Timestamp>) -> Vec<EndpointUpdate> {
         self.warming_delegated_since = since;
         self.updates_for(self.entries.values().cloned().collect())
@@ -108,7 +113,7 @@
         updates
     }
 
-    /// Marks endpoints that are left to a sibling process as draining, unless no other is usable.
+    /// Marks endpoints that are left to a sibling process as draining, unless no other endpoint is usable.
     pub fn apply_warming_delegation(&self, updates: &mut [EndpointUpdate]) {
         let Some(since) = self.warming_delegated_since else { return };
         let is_warming = |started_at: Option<Timestamp>| {
@@ -129,7 +134,8 @@
         entry.status == EntryState::Active && !self.overrides.is_ejected(&entry.name)
     }
 
-    /// An endpoint is restarted while it is ejected, and the list may say so late or never.
+    /// Returns the later of the start in the list and the last restoration: operators restart ejected
+    /// endpoints, and the list may report the new start late or never.
     fn started_at(&self, entry: &EndpointEntry) -> Option<Timestamp> {
         let listed =
             (entry.started_at_ms > 0).then(|| Timestamp(entry.started_at_ms.saturating_mul(TICKS_PER_MS)));
@@ -164,22 +170,22 @@
         self.updates_for(changed.iter().filter_map(|name| self.entries.get(name).cloned()).collect())
     }
 
-    /// The list.
+    /// Returns the entries of the list.
     pub fn entries(&self) -> impl Iterator<Item = &EndpointEntry> {
         self.entries.values()
     }
 
-    /// Name, id and start of the process, in Unix milliseconds, of each listed endpoint.
+    /// Returns, for each listed endpoint, its name, its id and the start of its process in Unix milliseconds.
     pub fn incarnations(&self) -> impl Iterator<Item = (&String, EndpointId, i64)> {
         self.entries.iter().filter_map(|(name, entry)| Some((name, self.ids.get(name)?, entry.started_at_ms)))
     }
 
-    /// Whether an endpoint of this name is listed, or was when it was ejected.
+    /// Returns whether an endpoint of this name is listed or ejected.
     pub fn contains(&self, name: &str) -> bool {
         self.entries.contains_key(name) || self.overrides.is_ejected(name)
     }
 
-    /// How many endpoints are listed, and how many of them are ejected manually.
+    /// Counts the listed endpoints, and those of them that are ejected manually.
     pub fn endpoint_counts(&self) -> EndpointCounts {
         EndpointCounts {
             listed: self.entries.len(),
@@ -187,12 +193,13 @@
         }
     }
 
-    /// How long an endpoint warms up after its start.
+    /// Returns how long an endpoint warms up after its start.
     pub fn warm_up_time(&self) -> Ticks {
         self.config.settings.slow_start.warm_up_time
     }
 
-    /// Takes over the entries of a list, logs what has changed, and forgets endpoints that are gone.
+    /// Stores the entries of a list, logs what has changed, and forgets endpoints that are removed or
+    /// missing.
     pub fn record_entries<R: Runtime>(
         &mut self,
         runtime: &R,
@@ -223,7 +230,7 @@
     }
 }
 
-/// The index of a name. Names that the configuration does not have share the index behind all others.
+/// Returns the index of a name. Names that are not configured share the index after the last one.
 fn index_of(indices: &BTreeMap<String, u16>, name: &str) -> u16 {
     indices.get(name).copied().unwrap_or(indices.len() as u16)
 }
--- a/crates/balancer/src/discovery/summary.rs
+++ b/crates/balancer/src/discovery/summary.rs
@@ -1,4 +1,4 @@
-//! Endpoints and configurations as text for people.
+//! Describes endpoints and configurations as text for operators.
 
 use std::sync::Arc;
 
@@ -15,7 +15,8 @@
     }
 }
 
-/// Log lines of the dispatcher name endpoints by their id; this one says which endpoint that is.
+/// Describes an endpoint with its id, name, address and state. Log lines of the dispatcher have only the id,
+/// so the log needs this line to tell which endpoint an id belongs to.
 pub(super) fn describe_entry(entry: &EndpointEntry, update: &EndpointUpdate) -> String {
     let id = update.endpoint.0;
     let name = &entry.name;
@@ -24,10 +25,10 @@
     format!("endpoint {id} is {name} at {address}, {status}")
 }
 
-/// What a configuration holds, for `doorproxy check`.
+/// Summarizes a configuration for `doorproxy check`.
 pub fn summary(config: &Arc<Config>) -> String {
     let (updates, _) = DiscoveryState::new(config.clone()).to_updates(&config.known_endpoints);
-    let admin = config.admin_address.map_or(String::new(), |address| format!(", for operators on {address}"));
+    let admin = config.admin_address.map_or(String::new(), |address| format!(", admin API on {address}"));
     let mut text = format!(
         "{} listens on {}{admin}: {} categories, {} tenants, {} sockets",
         config.name,
--- a/crates/balancer/src/discovery/watch.rs
+++ b/crates/balancer/src/discovery/watch.rs
@@ -1,5 +1,5 @@
-//! The client of the discovery service: keeps a watch open as long as requests succeed. After a failure the dispatcher
-//! decides when to continue.
+//! Implements the client of the discovery service. It keeps a watch open as long as requests succeed; after a
+//! failure, the dispatcher decides when to continue.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -25,50 +25,50 @@
 use crate::sync::lock;
 use crate::upstream::UpstreamClient;
 
-/// Longest response: a list of ten thousand endpoints fits.
+/// Maximum size of a response, which is enough for a list of ten thousand endpoints.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
-/// Minimum interval between requests, for a service whose watches return at once with nothing new.
+/// Minimum interval between requests, since the watches of some services return at once without changes.
 const MIN_POLL_INTERVAL: Ticks = Ticks(1000);
 /// Path of the endpoint list.
 const LIST_PATH: &str = "/api/targets";
 
-/// Why a request to the discovery service failed.
+/// States why a request to the discovery service failed.
 #[derive(Debug, Error)]
 enum DiscoveryError {
     #[error("{0}")]
     Uri(#[from] InvalidUri),
     #[error("{0}")]
     Request(#[from] legacy::Error),
-    #[error("{0}")]
+    #[error("status {0}, expected 200")]
     Status(StatusCode),
     #[error("{0}")]
     Body(BoxError),
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    #[error("no answer")]
+    #[error("no response within the timeout")]
     Timeout,
 }
 
-/// The client of the discovery service, with those that it tells of the list.
+/// Watches the endpoint list of the discovery service, and passes lists and failures on.
 pub struct Watcher<R: Runtime> {
-    /// Clock, tasks and connections.
+    /// Provides the clock, tasks and connections.
     pub runtime: R,
-    /// Where lists are applied.
+    /// Holds the endpoint list, to which responses are applied.
     pub discovery: Arc<Mutex<DiscoveryState>>,
-    /// Told of endpoints and failures; decides when to continue after one.
+    /// Receives endpoints and failures, and decides when to continue after a failure.
     pub dispatcher: Dispatcher,
-    /// Told of endpoints.
+    /// Receives endpoints.
     pub upstream_client: Arc<UpstreamClient<R>>,
-    /// Told of the first request.
+    /// Records that the first request has succeeded or failed.
     pub readiness: Arc<Readiness>,
-    /// Told of lists and failures.
+    /// Records lists and failures.
     pub recovery: Option<Arc<RecoveryState>>,
 }
 
 type DiscoveryClient<R> = Client<DiscoveryConnector<R>, Empty<Bytes>>;
 
 impl<R: Runtime> Watcher<R> {
-    /// Follows the list at the address in `source`, which may change. Runs forever.
+    /// Watches the list of the service at the address in `source`, which may change. Never returns.
     pub async fn run(self, mut source: watch::Receiver<SocketAddr>) {
         let client = Client::builder(HyperRuntime(self.runtime.clone()))
             .pool_timer(HyperRuntime(self.runtime.clone()))
@@ -91,8 +91,8 @@
             let response = tokio::select! {
                 biased;
                 response = self.fetch(client, address) => response,
-                // The service was replaced: a watch on the old one may never return, and versions of the one mean
-                // nothing to the other.
+                // The service was replaced. A watch on the old one may never return, and the new one has its
+                // own versions.
                 Ok(()) = source.changed() => {
                     lock(&self.discovery).forget_version();
                     continue;
@@ -121,7 +121,7 @@
     }
 
     fn on_error(&self, error: &DiscoveryError) {
-        log_line!(self.runtime, "discovery request failed: {error}");
+        log_line!(self.runtime, "discovery: request failed: {error}");
         if let Some(recovery) = &self.recovery {
             recovery.on_discovery_error();
         }
@@ -136,7 +136,7 @@
     ) -> Result<EndpointList, DiscoveryError> {
         let WatchPosition { version, timing } = lock(&self.discovery).watch_position();
         let mut uri = format!("http://{address}{LIST_PATH}");
-        // A request for a complete snapshot waits for nothing.
+        // The service answers a request for a complete snapshot without waiting for a change.
         let mut limit = DiscoveryTiming::SNAPSHOT_TIMEOUT;
         if let Some(after) = version {
             uri += &format!("?after={after}&wait_ms={}", duration(timing.watch_wait).as_millis());
--- a/crates/balancer/src/recovery.rs
+++ b/crates/balancer/src/recovery.rs
@@ -1,5 +1,5 @@
-//! State that outlives the process: restores what the previous process stored, tracks the progress of the start, and
-//! stores the current state at intervals. It never waits for a disk.
+//! Keeps state across restarts: restores what the previous process stored, tracks the startup stage, and
+//! stores the current state at intervals. It never waits for the disk.
 
 pub mod initial_endpoints;
 mod status;
@@ -24,44 +24,45 @@
 
 pub use initial_endpoints::{InitialEndpoints, RestoredState, initial_endpoints};
 
-/// The clocks of the machine, and the writer of the state directory.
+/// Reads the clocks of the machine and writes the state directory.
 pub trait StateStore: Send + Sync {
-    /// The current time by all clocks.
+    /// Returns the current time by all clocks.
     fn moment(&self) -> ClockReading;
 
-    /// Hands over a state to be written. It may be dropped while another is being written.
+    /// Queues a state to be written without waiting. The state may be dropped while another is being written.
     fn save(&self, state: PersistedState);
 }
 
 struct Inner {
     startup_status: StartupStatus,
     restored: RestoredState,
-    /// When the discovery service last confirmed the list: the age of what is stored, whichever process stores it.
+    /// Holds when the discovery service last confirmed the list. It determines the age of the stored list,
+    /// whichever process stores it.
     confirmed_at: Option<ClockReading>,
     list_version: u64,
 }
 
-/// The recovery of one process.
+/// Restores, tracks and stores the state of one process.
 pub struct RecoveryState {
     balancer_name: String,
-    /// The settings under which state is learned.
+    /// Identifies the settings under which the state is learned.
     settings_hash: u64,
     save_interval: Duration,
     store: Arc<dyn StateStore>,
     inner: Mutex<Inner>,
 }
 
-/// Whose state it is, and under which settings it is valid.
+/// Identifies the balancer that owns a state, and the settings under which the state is valid.
 #[derive(Clone, Copy)]
 pub struct StateOwner<'a> {
-    /// The balancer's name.
+    /// Names the balancer.
     pub balancer: &'a str,
-    /// The hash of its settings.
+    /// Holds the hash of its settings.
     pub settings_hash: u64,
 }
 
 impl RecoveryState {
-    /// A process that starts now with what the previous one stored.
+    /// Creates the recovery of a process that starts now with what the previous one stored.
     pub fn new<R: Runtime>(
         runtime: &R,
         owner: StateOwner<'_>,
@@ -88,12 +89,12 @@
         lock(&self.inner)
     }
 
-    /// The list to start with.
+    /// Returns the endpoint list to start with.
     pub fn initial_endpoints(&self, configured: &EndpointList) -> InitialEndpoints {
         initial_endpoints(configured, &self.inner().restored)
     }
 
-    /// The initial list was applied: restores the learned state, as far as it is valid.
+    /// Restores the learned state as far as it is valid. Called once the initial list is applied.
     pub fn on_initial_endpoints<R: Runtime>(
         &self,
         runtime: &R,
@@ -105,8 +106,8 @@
         let mut inner = self.inner();
         inner.list_version = list.version;
         if initial.source == FactSource::Configuration && !list.endpoints.is_empty() {
-            // The author of the configuration confirms its list as of this start: the discovery service may have nothing
-            // new to tell, and an unconfirmed list would never be stored.
+            // The configured list counts as confirmed at this start. The discovery service may have no newer
+            // version to send, and the list would otherwise be stored as never confirmed.
             inner.confirmed_at = Some(self.store.moment());
         }
         dispatcher.restore(now, &transferable_state(&inner.restored, list));
@@ -119,7 +120,8 @@
         log_change(runtime, change);
     }
 
-    /// The discovery service has sent a list, after which so many endpoints are known.
+    /// Records a list from the discovery service. `endpoint_count` is the number of endpoints after the list
+    /// is applied.
     pub fn on_endpoint_list<R: Runtime>(&self, runtime: &R, endpoint_count: usize, version: u64) {
         let mut inner = self.inner();
         inner.confirmed_at = Some(self.store.moment());
@@ -129,12 +131,12 @@
         log_change(runtime, change);
     }
 
-    /// A request to the discovery service has failed.
+    /// Records that a request to the discovery service has failed.
     pub fn on_discovery_error(&self) {
         self.inner().startup_status.on_discovery_error();
     }
 
-    /// Updates the startup status by what was seen so far, and stores the state.
+    /// Updates the startup status from the responses seen so far, and stores the state.
     fn checkpoint<R: Runtime>(
         &self,
         runtime: &R,
@@ -155,7 +157,7 @@
         let list_version = inner.list_version;
         drop(inner);
         log_change(runtime, change);
-        // After a start without any endpoint, an empty list must not replace a good one.
+        // A process that started without endpoints must not replace a stored list by an empty one.
         if endpoints.is_empty() {
             return;
         }
@@ -171,7 +173,7 @@
         });
     }
 
-    /// Stores the state at intervals. Runs forever.
+    /// Stores the state at intervals. Never returns.
     pub async fn run<R: Runtime>(
         self: Arc<Self>,
         runtime: R,
@@ -184,23 +186,24 @@
         }
     }
 
-    /// Name and value of each metric.
+    /// Returns the name and value of each metric.
     pub fn metrics(&self) -> [(&'static str, i64); 4] {
         status::metrics(&self.inner().startup_status)
     }
 
-    /// The JSON of `doorproxy recovery`.
+    /// Returns the JSON of `doorproxy recovery`.
     pub fn status<R: Runtime>(&self, runtime: &R) -> Value {
         status::to_json(&self.inner().startup_status, runtime.now())
     }
 }
 
-/// The oldest time there is, for a list that was never confirmed.
+/// Returns the oldest possible time, for a list that was never confirmed.
 fn unknown_time() -> ClockReading {
     ClockReading { wall_ms: 0, boot_id: String::new(), since_boot_ms: 0 }
 }
 
-/// The learned state without endpoints that are no longer known, or were restarted since.
+/// Returns the learned state without endpoints that are no longer listed or were restarted since it was
+/// stored.
 fn transferable_state(restored: &RestoredState, list: &EndpointList) -> String {
     let start_times = |entries: &[EndpointEntry]| -> BTreeMap<u32, i64> {
         entries.iter().map(|entry| (hash_text(&entry.name) as u32, entry.started_at_ms)).collect()
@@ -218,6 +221,6 @@
 
 fn log_change<R: Runtime>(runtime: &R, change: Option<StageChange>) {
     if let Some(StageChange { from, to, cause, .. }) = change {
-        log_line!(*runtime, "recovery: {from} to {to}: {cause}");
+        log_line!(*runtime, "recovery: stage changed from {from} to {to}: {cause}");
     }
 }
--- a/crates/balancer/src/recovery/initial_endpoints.rs
+++ b/crates/balancer/src/recovery/initial_endpoints.rs
@@ -1,5 +1,5 @@
-//! The endpoint list with which a process starts: the configured one, the one that the previous process stored, or the
-//! configured one with the doubts of the stored one.
+//! Selects the endpoint list with which a process starts: the list that the previous process stored, or the
+//! configured list, in which the stored one may mark endpoints as draining or recently started.
 
 use std::collections::BTreeMap;
 
@@ -12,17 +12,17 @@
 const ACTIVE: &str = "active";
 const DRAINING: &str = "leaving";
 
-/// What the previous process stored, with its age.
+/// Holds what the previous process stored, with its age.
 #[derive(Default)]
 pub struct RestoredState {
     pub(super) endpoints: Option<Fact<EndpointList>>,
     pub(super) learned_state: Option<Fact<String>>,
-    /// When the discovery service last confirmed the list.
+    /// Holds when the discovery service last confirmed the list.
     pub(super) confirmed_at: Option<ClockReading>,
 }
 
 impl RestoredState {
-    /// Dates a stored state. `now` is the start of this process.
+    /// Computes the age of a stored state at `now`, the start of this process.
     pub fn from_state(state: PersistedState, now: &ClockReading) -> RestoredState {
         let list_age = Age::between(&state.list_confirmed_at, now);
         let learned_state_age = Age::between(&state.written_at, now);
@@ -40,18 +40,18 @@
     }
 }
 
-/// A list, where it is from, and how old it is.
+/// Holds an endpoint list with its source and age.
 #[derive(Clone)]
 pub struct InitialEndpoints {
-    /// The list.
+    /// Holds the list.
     pub list: EndpointList,
-    /// Where it is from.
+    /// Tells the source of the list.
     pub source: FactSource,
-    /// Time since the discovery service confirmed it.
+    /// Holds the time since the discovery service confirmed the list.
     pub age: Age,
 }
 
-/// A stored endpoint as a list entry; `None` if its address can't be parsed.
+/// Converts a stored endpoint to a list entry. Returns `None` if its address can't be parsed.
 pub fn entry_from_persisted(endpoint: &PersistedEndpoint) -> Option<EndpointEntry> {
     Some(EndpointEntry {
         name: endpoint.id.clone(),
@@ -79,8 +79,9 @@
     }
 }
 
-/// The list to start with. The stored one is taken if it is valid for sending requests and not older than the configured
-/// one; else it may only make endpoints of the configured one less trusted.
+/// Returns the list to start with. The stored list is used if it may be used to send requests and is not
+/// older than the configured one. Otherwise it can only mark configured endpoints as draining or later
+/// started.
 pub fn initial_endpoints(configured: &EndpointList, restored: &RestoredState) -> InitialEndpoints {
     let from_configuration =
         |list| InitialEndpoints { list, source: FactSource::Configuration, age: Age::Unknown };
@@ -102,7 +103,8 @@
     from_configuration(list)
 }
 
-/// Takes over later starts, and draining endpoints that have not been restarted since.
+/// Applies the later start times of the stored list, and marks the endpoints as draining that drain in it and
+/// have not been restarted since.
 fn distrust_endpoints(list: &mut EndpointList, stored: &EndpointList) {
     let stored: BTreeMap<&String, &EndpointEntry> =
         stored.endpoints.iter().map(|entry| (&entry.name, entry)).collect();
--- a/crates/balancer/src/recovery/status.rs
+++ b/crates/balancer/src/recovery/status.rs
@@ -1,4 +1,4 @@
-//! The recovery status as metrics and as JSON.
+//! Renders the recovery status as metrics and as JSON.
 
 use doorproxy::ids::Timestamp;
 use doorproxy_recovery::age::Age;
@@ -6,7 +6,7 @@
 use doorproxy_recovery::validity::FactSource;
 use serde_json::{Value, json};
 
-/// Name and value of each metric.
+/// Returns the name and value of each metric.
 pub(super) fn metrics(status: &StartupStatus) -> [(&'static str, i64); 4] {
     let stage = match status.stage() {
         StartupStage::Nothing => 0,
@@ -41,7 +41,7 @@
     }
 }
 
-/// The JSON of `doorproxy recovery`.
+/// Returns the JSON of `doorproxy recovery`.
 pub(super) fn to_json(status: &StartupStatus, now: Timestamp) -> Value {
     let since_start = |at: Timestamp| (at - status.started_at()).as_secs_f64();
     let changes = status.changes().map(|change| {
--- a/crates/cli/tests/configuration.rs
+++ b/crates/cli/tests/configuration.rs
@@ -84,14 +84,14 @@
     expect![[r#"
         Some(1) EOF while parsing an object at line 1 column 1
         Some(1) invalid socket address syntax at line 1 column 114
-        Some(1) a seed of hexadecimal digits expected, not "seven"
-        Some(1) 64 sockets or more expected, not 8
+        Some(1) seed: "seven" is not a 64-bit hexadecimal number
+        Some(1) limits.sockets: 8 is too few; expected 64 or more
         Some(1) settings: expected a known categories.0.semantics, not "sometimes"
         Some(1) settings: expected setting obligations.cold that can be read, not "null"
         Some(1) missing field `addr` at line 1 column 69
         Some(1) settings: expected a known report.source, not "guesses"
         Some(1) settings: expected setting limits.probes
-        Some(1) settings: expected limits.probes of true, since report.source is "probe"
+        Some(1) settings: limits.probes is false; expected true, since report.source is "probe"
         Some(1) settings: expected setting az under 1, not 1
         Some(1) settings: expected setting prices.probe of 0 or more, not -0.5
         Some(1) settings: expected setting prices.connection that can be read, not "free"
--- a/crates/cli/tests/operators.rs
+++ b/crates/cli/tests/operators.rs
@@ -292,7 +292,7 @@
         Some(1) invalid socket address syntax at line 1 column 17
         Some(1) doorproxy: control TAKEN: Address already in use (os error 98)
         Some(1) invalid type: integer `5`, expected socket address at line 1 column 12
-        Some(1) doorproxy: control and listen are both 127.0.0.1:1
+        Some(1) doorproxy: control: 127.0.0.1:1 is also the listen address; expected another address
     "#]]
     .assert_eq(&said);
 }
--- a/crates/cli/tests/races.rs
+++ b/crates/cli/tests/races.rs
@@ -358,7 +358,7 @@
     asked.wait_for("call 2: GET /api/targets HTTP/1.1");
     // 2.2 s and a pause of 0.6 s at most; a busy machine may take its time, but not until a watch would be given up.
     assert!(began.elapsed() < Duration::from_secs(10), "{:?}", began.elapsed());
-    balancer.log.wait_for_prefix("discovery: ", 1);
+    balancer.log.wait_for_prefix("discovery: endpoint ", 1);
     Client::new(&balancer).get("/", "1").record_answer(&trace);
     trace.assert_matches(expect![[r#"
         B: GET / HTTP/1.1 id 1 body ""
--- a/crates/cli/tests/sockets.rs
+++ b/crates/cli/tests/sockets.rs
@@ -347,9 +347,10 @@
     });
     let balancer = start_with(&[], discovery, 256);
     Client::new(&balancer).get("/", "1").record_answer(&trace);
-    balancer.log.wait_for_prefix("discovery: ", 3);
+    balancer.log.wait_for_prefix("discovery: endpoint ", 3);
     let log = balancer.log.0.0.lock().unwrap().replace(&a.to_string(), "A");
-    let log = log.lines().filter(|line| line.starts_with("discovery: ")).collect::<Vec<_>>().join("\n");
+    let log =
+        log.lines().filter(|line| line.starts_with("discovery: endpoint ")).collect::<Vec<_>>().join("\n");
     expect![[r#"
         discovery: endpoint 176711122 is old at A, ready
         discovery: endpoint 2122082209 is new at A, ready
