--- a/crates/cli/tests/sidecar.rs
+++ b/crates/cli/tests/sidecar.rs
@@ -106,7 +106,8 @@
         .unwrap();
     let mut lines = BufReader::new(child.stderr.take().unwrap()).lines();
     let line = lines.next().unwrap().unwrap();
-    let address = line.strip_prefix("serving on ").unwrap_or_else(|| panic!("{line}")).parse().unwrap();
+    let address =
+        line.strip_prefix("server: serving on ").unwrap_or_else(|| panic!("{line}")).parse().unwrap();
     let (log, of_log) = channel();
     // Read on, or it would write into nothing.
     thread::spawn(move || lines.map_while(Result::ok).for_each(|line| drop(log.send(line))));
@@ -163,7 +164,7 @@
     let (mut sidecar, address) = start(&config([test_server(&trace), test_server(&trace)]), "backlog");
     signal(&sidecar, "TERM");
     let asked = Instant::now();
-    while sidecar.2.recv().unwrap() != "shutdown requested" {}
+    while sidecar.2.recv().unwrap() != "server: shutdown requested" {}
     // Nothing but the time keeps it, and it stands still until that is over.
     signal(&sidecar, "STOP");
     let waits =
@@ -287,9 +288,9 @@
     trace.1.store(true, Ordering::Relaxed);
     told += &format!("the op in hand: {}\n", slow.join().unwrap());
     expect![[r#"
-        configuration reloaded
+        config: reloaded
         configuration not reloaded: order-retriable: this route names no methods, so it takes POST and others that are not safe to repeat, but its category "look" may run again (always); name only safe methods, take a category that repeats never, or say in may_repeat_unsafe why it does no harm
-        configuration not reloaded: listeners and sockets can only change with a new start
+        config: not reloaded: listen and limits.sockets can't change in a reload; restart the sidecar
         /new/fine: HTTP/1.1 200 OK
         /quotes/fine: HTTP/1.1 404 Not Found
         the op in hand: HTTP/1.1 200 OK
--- a/crates/sidecar/src/error.rs
+++ b/crates/sidecar/src/error.rs
@@ -1,33 +1,33 @@
-//! Errors of the sidecar.
+//! Defines the errors of the sidecar.
 
 use std::io;
 
 use thiserror::Error;
 
-/// Why a configuration can't be served.
+/// States why a configuration can't be served.
 #[derive(Debug, Error)]
 pub enum SidecarError {
-    /// An address can't be listened on.
+    /// The system refused to listen on an address.
     #[error("{address}: {source}")]
     Listen {
-        /// The address.
+        /// Holds the address.
         address: std::net::SocketAddr,
-        /// What the system said.
+        /// Holds the system's error.
         source: io::Error,
     },
     /// Listeners of this type are not implemented.
-    #[error("sidecars can't listen on {listener} yet")]
+    #[error("listen: {listener} is not supported by the sidecar; expected a TCP address")]
     UnsupportedListener {
-        /// The listener.
+        /// Describes the listener.
         listener: String,
     },
-    /// Discovery is not implemented.
-    #[error("pool {pool:?} has a discovery, which sidecars can't follow yet")]
+    /// Discovery is not implemented for sidecars.
+    #[error("pool {pool:?}: discovery is not supported by the sidecar; expected a list of servers")]
     UnsupportedDiscovery {
-        /// The pool.
+        /// Names the pool.
         pool: String,
     },
-    /// A reload changes what only a restart can.
-    #[error("listeners and sockets can only change with a new start")]
+    /// The new configuration changes a setting that only takes effect after a restart.
+    #[error("listen and limits.sockets can't change in a reload; restart the sidecar")]
     RestartOnly,
 }
--- a/crates/sidecar/src/handler.rs
+++ b/crates/sidecar/src/handler.rs
@@ -1,4 +1,4 @@
-//! Handling of one request: classification by the configuration, and dispatch to a pool.
+//! Handles a request: classifies it by the configuration and dispatches it to a pool.
 
 use std::sync::Arc;
 
@@ -26,16 +26,16 @@
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Why a request is not dispatched.
+/// States why a request is not dispatched. The text is the body of the response.
 #[derive(Debug, Error)]
 enum RequestError {
-    #[error("more than one Host")]
+    #[error("Host: more than one; expected exactly one")]
     RepeatedHost,
-    #[error("this request has been here before")]
+    #[error("Via: this sidecar has already forwarded the request")]
     Loop,
     #[error("{0}")]
     Invalid(String),
-    #[error("no route takes this request")]
+    #[error("no route matches the request")]
     NoRoute,
     #[error("{0}")]
     Body(#[from] BodyError),
@@ -74,11 +74,11 @@
     request: Request,
 ) -> Result<Response, RequestError> {
     let (mut head, body) = request.into_parts();
-    // Requests in flight keep the configuration that they began with.
+    // A request keeps its configuration until it ends, even if a reload replaces it.
     let state = sidecar.state();
     let route_match = classify(&state.config, &head, &sidecar.via)?;
     let body = read_request_body(body, state.config.limits.max_body_bytes, client).await?;
-    // After the classification, which reads the fields as the application sent them.
+    // Called after the classification, which reads the header fields as the application sent them.
     prepare_for_upstream::<Arc<ClientConnection<R>>>(&mut head);
     add_via(&mut head.headers, &sidecar.via);
     if sidecar.connections.is_full() {
@@ -92,15 +92,15 @@
     Ok(dispatch(&sidecar.runtime, pool, client, received, "", never, on_response).await)
 }
 
-/// The value of a field that stands once.
+/// Returns the value of a header field that occurs exactly once.
 fn single_value<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let mut values = headers.get_all(name).iter();
     let value = values.next()?.to_str().ok()?;
     values.next().is_none().then_some(value)
 }
 
-/// Whether `Via` names this sidecar.
-fn has_passed(headers: &HeaderMap, via: &str) -> bool {
+/// Returns whether `Via` names this sidecar, so that the request has passed through it before.
+fn has_own_via(headers: &HeaderMap, via: &str) -> bool {
     let names_via = |value: &HeaderValue| {
         let hops = value.to_str().unwrap_or_default().split(',');
         hops.into_iter().any(|hop| hop.split_whitespace().nth(1) == Some(via))
@@ -108,12 +108,12 @@
     headers.get_all(header::VIA).iter().any(names_via)
 }
 
-/// What the request is by the configuration.
+/// Finds the route of a request, and determines its class, pool and parameters from the configuration.
 fn classify(config: &SidecarConfig, head: &Parts, via: &str) -> Result<RouteMatch, RequestError> {
     if head.headers.get_all(header::HOST).iter().count() > 1 {
         return Err(RequestError::RepeatedHost);
     }
-    if has_passed(&head.headers, via) {
+    if has_own_via(&head.headers, via) {
         return Err(RequestError::Loop);
     }
     let field = |name: &str| single_value(&head.headers, name);
@@ -124,14 +124,14 @@
         .ok_or(RequestError::NoRoute)
 }
 
-/// The index of a tenant; all that are not configured share the one behind them.
+/// Returns the index of a tenant. Tenants that are not configured share the index after the last one.
 fn tenant_id(config: &SidecarConfig, name: Option<&str>) -> TenantId {
     let tenants = &config.tenants;
     let index = tenants.iter().position(|tenant| Some(tenant.name.as_str()) == name);
     TenantId(index.unwrap_or(tenants.len()) as u16)
 }
 
-/// The cost estimate in core seconds, from microseconds. A malformed one is ignored.
+/// Converts a cost estimate from microseconds to core seconds. A malformed one is ignored.
 fn cost_estimate(text: &str) -> Option<f64> {
     let microseconds = text.parse::<f64>().ok()?;
     let is_valid = microseconds.is_finite() && microseconds > 0.0;
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -1,5 +1,5 @@
-//! An HTTP/1.1 proxy beside one application. Its configuration says to which pool a request goes; the decisions of the
-//! `doorproxy` crate say to which endpoint of it.
+//! Implements the sidecar, an HTTP/1.1 proxy beside one application. Its configuration determines the pool of
+//! a request, and the `doorproxy` crate decides to which endpoint of the pool the request goes.
 
 #![warn(missing_docs)]
 
--- a/crates/sidecar/src/pools.rs
+++ b/crates/sidecar/src/pools.rs
@@ -1,4 +1,4 @@
-//! The pools of a sidecar: for each a dispatcher, which is told of the pool's endpoints, and the connections to them.
+//! Starts the pools of a sidecar. Each has a dispatcher for its endpoints and the connections to them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,12 +20,12 @@
 use crate::SidecarError;
 use crate::settings::{settings, ticks};
 
-/// One pool that is served.
+/// Serves one pool.
 pub struct UpstreamPool<R: Runtime> {
     dispatcher: Dispatcher,
     upstream_client: Arc<UpstreamClient<R>>,
     metrics: Arc<Metrics>,
-    /// The dispatcher is ticked for as long as this is held.
+    /// Stops the ticks of the dispatcher when it is dropped.
     _driver_handle: mpsc::Sender<()>,
 }
 
@@ -43,16 +43,17 @@
     }
 }
 
-/// A configuration, and the pools that it names, in its order.
+/// Holds a configuration and its pools.
 pub struct ServingState<R: Runtime> {
-    /// The configuration.
+    /// Holds the configuration.
     pub config: SidecarConfig,
-    /// Its pools.
+    /// Holds the pools in the order of the configuration.
     pub pools: Vec<Arc<UpstreamPool<R>>>,
 }
 
 impl<R: Runtime> ServingState<R> {
-    /// Whether pools of this state may go on under another configuration.
+    /// Returns whether all settings that pools depend on are equal in another configuration, so that pools
+    /// may be kept.
     fn has_equal_settings(&self, config: &SidecarConfig) -> bool {
         self.config.classes == config.classes
             && self.config.tenants == config.tenants
@@ -62,12 +63,12 @@
     }
 }
 
-/// Starts the pools of a configuration. A pool that the previous one had with the same settings goes on with what it has
-/// learned.
+/// Starts the pools of a configuration. A pool that the previous configuration had with the same settings is
+/// kept with its learned state.
 ///
 /// # Errors
 ///
-/// If a pool needs discovery, which is not implemented.
+/// Fails if a pool uses discovery, which is not implemented.
 pub fn start_pools<R: Runtime>(
     runtime: &R,
     config: SidecarConfig,
@@ -102,7 +103,8 @@
     }
 }
 
-/// Client errors are answers of the application, and no failures of the endpoint.
+/// Returns whether a response counts as a success of the endpoint. Client errors do, since the application
+/// caused them.
 fn is_success(status: StatusCode) -> bool {
     !status.is_server_error()
 }
@@ -132,7 +134,7 @@
     UpstreamPool { dispatcher, upstream_client, metrics, _driver_handle: driver_handle }
 }
 
-/// Ticks the dispatcher until the returned handle is dropped.
+/// Starts a task that ticks the dispatcher until the returned handle is dropped.
 fn start_driver<R: Runtime>(runtime: &R, dispatcher: &Dispatcher) -> mpsc::Sender<()> {
     let (handle, mut handle_dropped) = mpsc::channel(1);
     let driver = drive(runtime.clone(), dispatcher.clone());
@@ -146,7 +148,7 @@
     handle
 }
 
-/// Sorted names; the index of a name is its position.
+/// Returns the sorted distinct names; the index of a name is its position.
 fn index_names<'a>(names: impl Iterator<Item = &'a str>) -> Vec<&'a str> {
     let mut names: Vec<&str> = names.collect();
     names.sort_unstable();
@@ -154,7 +156,8 @@
     names
 }
 
-/// The index of a name; 0 if there is none, which the check of the configuration allows only where nothing depends on it.
+/// Returns the index of a name, or 0 if the name is unknown. The configuration check allows unknown names
+/// only where nothing depends on the index.
 fn index_of(names: &[&str], name: &str) -> u16 {
     names.iter().position(|known| *known == name).unwrap_or(0) as u16
 }
--- a/crates/sidecar/src/server.rs
+++ b/crates/sidecar/src/server.rs
@@ -1,4 +1,5 @@
-//! The server of a sidecar: accepts connections, takes new configurations, and shuts down in order.
+//! Runs the server of a sidecar: accepts connections, applies reloaded configurations, and shuts down
+//! gracefully.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -22,16 +23,16 @@
 use crate::pools::{ServingState, start_pools};
 use crate::settings::ticks;
 
-/// How often the progress of a shutdown is looked at.
+/// Interval at which the progress of a shutdown is checked.
 const DRAIN_CHECK_INTERVAL: Ticks = Ticks(200);
 
-/// A running sidecar.
+/// Holds the state of a running sidecar.
 pub struct Sidecar<R: Runtime> {
     pub(crate) runtime: R,
     seed: u64,
-    /// Serves new requests. Those in flight keep the state that they began with.
+    /// Serves new requests. Requests in flight keep the state that they started with.
     state: Mutex<Arc<ServingState<R>>>,
-    /// Its name in `Via`, by which it recognizes requests that it has sent itself.
+    /// Holds the name in `Via` by which the sidecar recognizes requests that it has forwarded itself.
     pub(crate) via: String,
     pub(crate) connections: Arc<ClientConnections<R>>,
     lifecycle: Lifecycle,
@@ -42,7 +43,7 @@
         lock(&self.state).clone()
     }
 
-    /// Takes over a new configuration as a whole, or keeps the old one.
+    /// Applies a new configuration as a whole, or keeps the old one if the new one can't be applied.
     fn reload(&self, config: SidecarConfig) -> Result<(), SidecarError> {
         let previous = self.state();
         let has_equal_listeners = previous.config.listeners == config.listeners;
@@ -54,7 +55,7 @@
         Ok(())
     }
 
-    /// Tells the client if its connection will not be kept.
+    /// Adds `Connection: close` if the connection is closed after the response.
     pub(crate) fn finish_response(&self, mut response: Response) -> Response {
         let is_closing = self.lifecycle.is_closing_idle(self.runtime.now());
         if is_closing || self.connections.is_nearly_full() {
@@ -64,11 +65,11 @@
     }
 }
 
-/// Serves until shutdown, and returns once all requests are answered. `reloads` brings new configurations.
+/// Serves until shutdown, and returns once all requests are answered. `reloads` delivers new configurations.
 ///
 /// # Errors
 ///
-/// If the configuration can't be served.
+/// Fails if the configuration can't be served.
 pub async fn serve<R: Runtime>(
     runtime: R,
     config: SidecarConfig,
@@ -99,7 +100,7 @@
         let listener = runtime
             .listen(address, SEND_BUFFER_BYTES, LISTEN_BACKLOG)
             .map_err(|source| SidecarError::Listen { address, source })?;
-        log_line!(*runtime, "serving on {}", listener.local_addr().unwrap_or(address));
+        log_line!(*runtime, "server: serving on {}", listener.local_addr().unwrap_or(address));
         listeners.push(Arc::new(listener));
     }
     Ok(listeners)
@@ -141,25 +142,27 @@
             biased;
             () = &mut shutdown => return,
             Some(config) = reloads.recv() => match sidecar.reload(config) {
-                Ok(()) => log_line!(sidecar.runtime, "configuration reloaded"),
-                Err(error) => log_line!(sidecar.runtime, "configuration not reloaded: {error}"),
+                Ok(()) => log_line!(sidecar.runtime, "config: reloaded"),
+                Err(error) => log_line!(sidecar.runtime, "config: not reloaded: {error}"),
             },
         }
     }
 }
 
-/// Serves existing connections for a part of the grace period, and returns once all are closed, or too late.
+/// Serves clients for the serving part of the grace period, then closes the connections. Returns once all are
+/// closed or the time for the final flush is over.
 async fn drain<R: Runtime>(sidecar: &Sidecar<R>, router: &Router, listeners: &[Arc<R::Listener>]) {
     let runtime = &sidecar.runtime;
     let connections = &sidecar.connections;
-    log_line!(*runtime, "shutdown requested");
+    log_line!(*runtime, "server: shutdown requested");
     let requested_at = runtime.now();
     sidecar.lifecycle.on_shutdown_requested(requested_at);
     runtime.sleep_until(requested_at + sidecar.lifecycle.serving_time()).await;
     loop {
         let open_connections = connections.count();
         let is_late = sidecar.lifecycle.is_past_final_flush(runtime.now());
-        // The system resets connections in the backlog when the listener is closed.
+        // The system resets connections in the backlog when the listener is closed, so they are accepted
+        // first.
         let accept_waiting = || listeners.iter().find_map(|listener| listener.try_accept());
         if open_connections == 0
             && !is_late
@@ -169,7 +172,7 @@
             continue;
         }
         if open_connections == 0 || is_late {
-            log_line!(*runtime, "stopped with {open_connections} connections open");
+            log_line!(*runtime, "server: stopped with {open_connections} open connections");
             return;
         }
         connections.close_all();
--- a/crates/sidecar/src/settings.rs
+++ b/crates/sidecar/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the decisions, by the configuration of a sidecar.
+//! Derives the settings of the dispatchers from the configuration of a sidecar.
 
 use std::time::Duration;
 
@@ -7,21 +7,21 @@
 use doorproxy::settings::{DedupScope, Idempotency, RequestClass, Settings, SlowStart};
 use doorproxy_config::sidecar::{self, SidecarConfig};
 
-/// First attempt and two retries.
+/// Maximum number of attempts of a request: the first one and two retries.
 const MAX_ATTEMPTS: u16 = 3;
-/// Longest `Retry-After` of a rejected request.
+/// Maximum `Retry-After` of a rejected request.
 pub const MAX_RETRY_AFTER: Ticks = Ticks(20_000);
 const MICROS_PER_TICK: u128 = 100;
-/// Part of a request's weight that is left beyond its tenant's quota.
+/// Factor by which the priority weight of a request is reduced above its tenant's quota.
 const OVER_QUOTA_FACTOR: f64 = 0.1;
 const MAX_POLL_INTERVAL_SECONDS: f64 = 10.0;
 const WARM_UP_SECONDS: f64 = 20.0;
 const OVERLOAD_WINDOW_SECONDS: f64 = 2.0;
 const OVERLOAD_FACTOR: f64 = 2.5;
-/// Share of its capacity that an endpoint may get at its start.
+/// Share of its capacity that an endpoint may use at its start.
 const SLOW_START_FRACTION: f64 = 0.2;
 
-/// A standard duration in ticks, rounded down.
+/// Converts a standard duration to ticks, rounded down.
 pub(crate) fn ticks(duration: Duration) -> Ticks {
     Ticks((duration.as_micros() / MICROS_PER_TICK) as i64)
 }
@@ -52,16 +52,16 @@
     }
 }
 
-/// The settings of all pools.
+/// Returns the settings that all pools share.
 pub fn settings(config: &SidecarConfig) -> Settings {
-    // Requests of no configured tenant are a tenant of their own, without a quota.
+    // Requests without a configured tenant belong to an additional tenant without a quota.
     let other_tenants = (!config.tenants.is_empty()).then_some(f64::MAX);
     let balancer_count = config.limits.balancer_count;
     Settings {
         classes: config.classes.iter().map(request_class).collect(),
         tenant_quotas: config.tenants.iter().map(|tenant| tenant.quota).chain(other_tenants).collect(),
         balancer_count,
-        // Sidecars need not agree on their indices, as long as these are spread.
+        // The indices of sidecars need not be distinct, as long as they are spread evenly.
         balancer_index: (hash_text(&config.name) % u64::from(balancer_count.max(1))) as u32,
         over_quota_factor: OVER_QUOTA_FACTOR,
         max_attempts: MAX_ATTEMPTS,
