--- a/crates/balancer/tests/initial_endpoints.rs
+++ b/crates/balancer/tests/initial_endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list that a process starts with, from a configuration and a stored state.
+//! Tests which endpoint list a process starts with, given a configuration and a stored state.
 
 use doorproxy_balancer::discovery::{EndpointEntry, EndpointList, EntryState};
 use doorproxy_balancer::recovery::initial_endpoints::{
@@ -47,30 +47,31 @@
     list.endpoints.iter().map(|entry| (entry.name.as_str(), summary(entry).0, summary(entry).1)).collect()
 }
 
-/// A stored list never makes an endpoint more trusted than the configuration does: the later one is used, and an old
-/// one only takes trust away.
+/// Guards against a stale stored list that sends requests to endpoints which the configuration excludes. The
+/// list of the later version is used; an older stored one may only mark endpoints as draining or recently
+/// started.
 #[test]
-fn stale_list_only_makes_endpoints_less_trusted() {
-    let soon = moment(5_000);
+fn stale_stored_list_never_makes_endpoints_usable() {
+    let seconds_later = moment(5_000);
     let stored = || vec![endpoint("a", "active", 7), endpoint("b", "leaving", 0), endpoint("c", "active", 0)];
     let configured = [endpoint("a", "active", 0), endpoint("b", "active", 0), endpoint("c", "leaving", 0)];
-    // Of a later version, or where nothing else is known: as it was stored.
+    // A stored list of a later version, or beside an empty configured one, is used unchanged.
     let InitialEndpoints { list, source, .. } =
-        initial_endpoints(&configured_list(4, &configured), &restored_state(9, stored(), &soon));
+        initial_endpoints(&configured_list(4, &configured), &restored_state(9, stored(), &seconds_later));
     assert_eq!(
         (summarize(&list), source),
         (vec![("a", true, 7), ("b", false, 0), ("c", true, 0)], FactSource::StateDirectory)
     );
-    let initial = initial_endpoints(&configured_list(99, &[]), &restored_state(9, stored(), &soon));
+    let initial = initial_endpoints(&configured_list(99, &[]), &restored_state(9, stored(), &seconds_later));
     assert_eq!(initial.list.endpoints.len(), 3);
-    // Of an earlier version: what it knows against an endpoint counts, what it knows for one does not.
+    // A stored list of an earlier version may mark endpoints as draining, but not as ready.
     let InitialEndpoints { list, source, .. } =
-        initial_endpoints(&configured_list(20, &configured), &restored_state(9, stored(), &soon));
+        initial_endpoints(&configured_list(20, &configured), &restored_state(9, stored(), &seconds_later));
     assert_eq!(
         (summarize(&list), source),
         (vec![("a", true, 7), ("b", false, 0), ("c", false, 0)], FactSource::Configuration)
     );
-    // Hours old: nothing is sent by it.
+    // A stored list that is two hours old is not used to send requests.
     let initial =
         initial_endpoints(&configured_list(0, &[]), &restored_state(9, stored(), &moment(7_200_000)));
     assert!(initial.list.endpoints.is_empty());
--- a/crates/balancer/tests/stall_detector.rs
+++ b/crates/balancer/tests/stall_detector.rs
@@ -1,17 +1,18 @@
-//! Input that is read after a stall is dated to its beginning, until all of it has been read.
+//! Tests the stall detector: input that is read after a stall is dated to the beginning of the stall until
+//! all input that had arrived by its end has been read.
 
 use doorproxy::ids::{Ticks, Timestamp};
 use doorproxy_balancer::runtime::stall_detector::StallDetector;
 
-/// Requests that arrive while the process is stopped do not get their whole timeout anew.
+/// Guards against requests that arrive while the process is stopped and get their whole timeout again.
 #[test]
-fn reads_after_a_stall_are_dated_from_its_beginning() {
+fn reads_after_a_stall_are_dated_to_its_beginning() {
     let mut detector = StallDetector::new(Timestamp(0));
     assert_eq!(
         (detector.tick(Timestamp(500)), detector.earliest_arrival(Timestamp(600), Timestamp(0))),
         (None, Timestamp(600))
     );
-    // Stopped at 1,000; one read comes before the tick, and one after it.
+    // The process stops at 1,000. One read comes before the tick that records the stall, and one after it.
     assert_eq!(detector.tick(Timestamp(1_000)), None);
     assert_eq!(detector.earliest_arrival(Timestamp(21_000), Timestamp(900)), Timestamp(1_000));
     assert_eq!(detector.tick(Timestamp(21_001)), Some(Ticks(20_001)));
@@ -19,26 +20,26 @@
     for at in (21_500..=23_500).step_by(500) {
         assert_eq!(detector.tick(Timestamp(at)), None);
     }
-    // All that had arrived by the tick has been read.
+    // All input that had arrived by the end of the stall has been read.
     assert_eq!(detector.earliest_arrival(Timestamp(23_600), Timestamp(23_550)), Timestamp(23_600));
-    // A few late ticks are no stall.
+    // A gap below the threshold does not count as a stall.
     assert_eq!(
         (detector.tick(Timestamp(28_400)), detector.earliest_arrival(Timestamp(28_500), Timestamp(23_550))),
         (None, Timestamp(28_500))
     );
 }
 
-/// A backlog that takes seconds to read is dated before the stall.
+/// Guards against a backlog that takes seconds to read and is dated to the time of each read.
 #[test]
-fn backlog_is_dated_before_the_stall_however_long_it_takes_to_read() {
+fn long_backlog_is_dated_to_the_beginning_of_the_stall() {
     let mut detector = StallDetector::new(Timestamp(0));
     detector.tick(Timestamp(20_000));
     for at in (20_500..=60_000).step_by(500) {
         detector.tick(Timestamp(at));
-        // What had arrived by the end of the stall was accepted, and not read yet.
+        // Input that had arrived by the end of the stall is accepted and not read yet.
         assert_eq!(detector.earliest_arrival(Timestamp(at + 1), Timestamp(19_999)), Timestamp(0), "{at}");
     }
     assert_eq!(detector.earliest_arrival(Timestamp(60_100), Timestamp(20_000)), Timestamp(60_100));
-    // A stall that was caught up with once is over.
+    // The stall is over once all its input has been read, even if an earlier time is passed later.
     assert_eq!(detector.earliest_arrival(Timestamp(60_200), Timestamp(0)), Timestamp(60_200));
 }
--- a/crates/balancer/tests/stored.rs
+++ b/crates/balancer/tests/stored.rs
@@ -1,4 +1,5 @@
-//! Files that a balancer leaves in its directory are found by their names, read whole, and written again byte by byte.
+//! Tests that the files in a balancer's directory keep their names and formats: stored files are found, read
+//! completely, and written again byte for byte.
 
 use std::path::Path;
 
@@ -11,7 +12,7 @@
 const LEARNED: &str = include_str!("../../../testdata/doorproxy-n0.process-learned");
 
 #[test]
-fn stored_overrides_are_read_and_written_as_they_were() {
+fn stored_overrides_are_written_again_unchanged() {
     let decoded = ManualOverrides::decode(OVERRIDES);
     assert_eq!(decoded.damaged_lines, 0);
     let overrides = decoded.overrides;
@@ -22,7 +23,7 @@
 }
 
 #[test]
-fn overrides_are_found_by_the_names_of_their_files() {
+fn override_files_keep_their_names() {
     let path = |text: &str| Path::new(env!("CARGO_MANIFEST_DIR")).join(text);
     assert_eq!(FileStore::for_balancer(&path("testdata"), "n0").read().unwrap(), OVERRIDES);
     assert_eq!(
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn a_snapshot_is_found_by_the_name_of_its_file() {
+fn snapshot_file_keeps_its_name() {
     let directory = tempfile::tempdir().unwrap();
     let file = directory.path().join("doorproxy-n0.process-learned");
     std::fs::write(&file, LEARNED).unwrap();
