--- a/crates/balancer/src/admin.rs
+++ b/crates/balancer/src/admin.rs
@@ -32,7 +32,7 @@
 pub use listener::{MAX_CONNECTIONS, serve};
 pub use store::{FileStore, TextStore};
 
-/// Interval at which overrides of sibling processes and of the fleet are applied.
+/// Sets how often overrides of sibling processes and of the fleet are applied.
 const OVERRIDE_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Answers the calls of operators.
@@ -65,7 +65,7 @@
     pub store: Arc<dyn TextStore>,
     /// Identifies this balancer as the author of overrides that are set here.
     pub balancer_id: NodeId,
-    /// The revision of the register that was last stored.
+    /// Holds the revision of the register that was last stored.
     saved_revision: AtomicU64,
 }
 
--- a/crates/balancer/src/admin/listener.rs
+++ b/crates/balancer/src/admin/listener.rs
@@ -17,10 +17,10 @@
 use crate::runtime::{Listener, Runtime};
 
 const MAX_HEAD_BYTES: usize = 8 << 10;
-/// Maximum duration of a call; callers wait one second for a response.
+/// Limits the duration of a call; callers wait one second for a response.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// Maximum number of concurrent connections; a further one closes the oldest.
+/// Limits the number of concurrent connections; a further one closes the oldest.
 pub const MAX_CONNECTIONS: usize = 8;
 
 /// Serves the admin API. Never returns.
--- a/crates/balancer/src/admin/routes.rs
+++ b/crates/balancer/src/admin/routes.rs
@@ -14,9 +14,9 @@
 use crate::admin::{AdminApi, AdminError, OverrideAction};
 use crate::runtime::Runtime;
 
-/// Maximum size of a body in bytes, which is more than any endpoint name has.
+/// Limits the size of a body in bytes; every endpoint name is shorter.
 const MAX_BODY_BYTES: usize = 512;
-/// Maximum time for which a permit may be requested, in seconds.
+/// Limits the time for which a permit may be requested, in seconds.
 const MAX_PERMIT_SECONDS: f64 = 86_400.0;
 
 type ApiState<R> = State<Arc<AdminApi<R>>>;
--- a/crates/balancer/src/assembly.rs
+++ b/crates/balancer/src/assembly.rs
@@ -23,11 +23,11 @@
 
 pub use crate::components::{Components, InheritedListener};
 
-/// Number of file descriptors that are reserved for the admin API: its connections, its listener, the epoll
-/// and wake-up descriptors of its thread, and the override file.
+/// Reserves file descriptors for the admin API: its connections, its listener, the epoll and wake-up
+/// descriptors of its thread, and the override file.
 pub const ADMIN_DESCRIPTORS: usize = admin::MAX_CONNECTIONS + 6;
 
-/// Share of the shortest latency objective for which a response of unknown length is buffered, so that a
+/// Sets how long a response of unknown length is buffered, as a share of the shortest latency objective. A
 /// response that breaks off within this time is not forwarded as complete.
 pub const RESPONSE_BUFFERING_RATIO: f64 = 0.25;
 
--- a/crates/balancer/src/config.rs
+++ b/crates/balancer/src/config.rs
@@ -19,7 +19,7 @@
 
 pub use error::{ConfigError, ConfigErrorKind};
 
-/// Minimum number of sockets; fewer do not suffice for clients and endpoints together.
+/// Sets the minimum number of sockets; fewer do not suffice for clients and endpoints together.
 const MIN_SOCKETS: usize = 64;
 const PATH_VARIABLE: &str = "PROXY_CONFIG";
 const ADMIN_ADDRESS_VARIABLE: &str = "PROXY_CONTROL";
--- a/crates/balancer/src/discovery/state.rs
+++ b/crates/balancer/src/discovery/state.rs
@@ -18,8 +18,8 @@
 use crate::runtime::Runtime;
 
 const TICKS_PER_MS: i64 = 10;
-/// Minimum weight: shares are divided by weights, so an endpoint of weight zero would get all requests or
-/// none.
+/// Sets the minimum weight. Shares are divided by weights, so an endpoint of weight zero would get all
+/// requests or none.
 const MIN_WEIGHT: f64 = 1e-3;
 const DEFAULT_WEIGHT: f64 = 1.0;
 
--- a/crates/balancer/src/discovery/watch.rs
+++ b/crates/balancer/src/discovery/watch.rs
@@ -25,11 +25,11 @@
 use crate::sync::lock;
 use crate::upstream::UpstreamClient;
 
-/// Maximum size of a response, which is enough for a list of ten thousand endpoints.
+/// Limits the size of a response; a list of ten thousand endpoints fits.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
-/// Minimum interval between requests, since the watches of some services return at once without changes.
+/// Sets the minimum interval between requests, since the watches of a service may return at once without
+/// changes.
 const MIN_POLL_INTERVAL: Ticks = Ticks(1000);
-/// Path of the endpoint list.
 const LIST_PATH: &str = "/api/targets";
 
 /// States why a request to the discovery service failed.
--- a/crates/balancer/src/handover/process_locks.rs
+++ b/crates/balancer/src/handover/process_locks.rs
@@ -7,7 +7,7 @@
 use crate::file_names::safe_file_name;
 use crate::handover::{SiblingStatus, Siblings};
 
-/// Content of the lock file of a process that serves.
+/// Marks the lock file of a process that serves.
 const SERVING: &str = "serves\n";
 
 /// Manages the numbered lock files in a directory that all processes of a balancer share, one file for each
--- a/crates/balancer/src/handover/snapshot.rs
+++ b/crates/balancer/src/handover/snapshot.rs
@@ -4,8 +4,8 @@
 use doorproxy::ids::{Ticks, Timestamp};
 
 const FORMAT: &str = "doorproxy-learned 1";
-/// Maximum age of a snapshot. The predecessor writes one at each lifecycle check while a successor starts, so
-/// an older one belongs to an earlier handover.
+/// Limits the age of a snapshot. The predecessor writes one at each lifecycle check while a successor starts,
+/// so an older one belongs to an earlier handover.
 const MAX_AGE: Ticks = Ticks(10_000);
 
 fn header(settings_hash: u64, at: Timestamp) -> String {
--- a/crates/balancer/src/peers.rs
+++ b/crates/balancer/src/peers.rs
@@ -31,7 +31,7 @@
     pub reason: String,
 }
 
-/// Minimum time for which a permit is requested.
+/// Sets the minimum time for which a permit is requested.
 const MIN_REQUEST_TIME: Ticks = Ticks(50_000);
 
 /// Shares state between the peer thread and the admin API.
--- a/crates/balancer/src/runtime.rs
+++ b/crates/balancer/src/runtime.rs
@@ -28,7 +28,7 @@
     /// Represents a listener.
     type Listener: Listener<Stream = Self::Stream>;
 
-    /// Returns the Unix time, which never runs backwards and is comparable with the start times in the
+    /// Returns the Unix time, which never goes backwards and is comparable with the start times in the
     /// endpoint list.
     fn now(&self) -> Timestamp;
 
--- a/crates/balancer/src/runtime/log.rs
+++ b/crates/balancer/src/runtime/log.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 const MAX_LINES_PER_SECOND: u32 = 20;
-/// Maximum number of lines that wait to be written; further lines are dropped.
+/// Limits the lines that wait to be written; further lines are dropped.
 const MAX_QUEUED_LINES: usize = 256;
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
 /// Names the thread that writes the log.
--- a/crates/balancer/src/runtime/stall_detector.rs
+++ b/crates/balancer/src/runtime/stall_detector.rs
@@ -3,7 +3,8 @@
 
 use doorproxy::ids::{Ticks, Timestamp};
 
-/// Gap between ticks that counts as a stall: ten tick intervals, since shorter gaps occur under load.
+/// Sets the longest gap between ticks that is not a stall: ten tick intervals, since such gaps occur under
+/// load.
 const STALL_THRESHOLD: Ticks = Ticks(5_000);
 
 /// Determines the earliest arrival time of input from the gaps between its ticks. It must be ticked many
--- a/crates/balancer/src/runtime/system.rs
+++ b/crates/balancer/src/runtime/system.rs
@@ -38,7 +38,7 @@
 struct EventLoopProgress {
     polled_at: AtomicI64,
     previous_polled_at: AtomicI64,
-    /// The time up to which all input that had arrived was accepted and read.
+    /// Holds the time up to which all input that had arrived was accepted and read.
     caught_up_to: AtomicI64,
 }
 
--- a/crates/balancer/tests/initial_endpoints.rs
+++ b/crates/balancer/tests/initial_endpoints.rs
@@ -21,15 +21,15 @@
     }
 }
 
-fn moment(since_boot_ms: u64) -> ClockReading {
+fn clock_reading(since_boot_ms: u64) -> ClockReading {
     ClockReading { wall_ms: since_boot_ms, boot_id: "b".to_string(), since_boot_ms }
 }
 
 fn restored_state(version: u64, endpoints: Vec<PersistedEndpoint>, now: &ClockReading) -> RestoredState {
     let state = PersistedState {
         balancer: "n0".to_string(),
-        written_at: moment(0),
-        list_confirmed_at: moment(0),
+        written_at: clock_reading(0),
+        list_confirmed_at: clock_reading(0),
         list_version: version,
         endpoints,
         learned_state: String::new(),
@@ -52,7 +52,7 @@
 /// started.
 #[test]
 fn stale_stored_list_never_makes_endpoints_usable() {
-    let seconds_later = moment(5_000);
+    let seconds_later = clock_reading(5_000);
     let stored = || vec![endpoint("a", "active", 7), endpoint("b", "leaving", 0), endpoint("c", "active", 0)];
     let configured = [endpoint("a", "active", 0), endpoint("b", "active", 0), endpoint("c", "leaving", 0)];
     // A stored list of a later version, or beside an empty configured one, is used unchanged.
@@ -73,6 +73,6 @@
     );
     // A stored list that is two hours old is not used to send requests.
     let initial =
-        initial_endpoints(&configured_list(0, &[]), &restored_state(9, stored(), &moment(7_200_000)));
+        initial_endpoints(&configured_list(0, &[]), &restored_state(9, stored(), &clock_reading(7_200_000)));
     assert!(initial.list.endpoints.is_empty());
 }
--- a/crates/sidecar/src/server.rs
+++ b/crates/sidecar/src/server.rs
@@ -23,7 +23,7 @@
 use crate::pools::{ServingState, start_pools};
 use crate::settings::ticks;
 
-/// Interval at which the progress of a shutdown is checked.
+/// Sets how often the progress of a shutdown is checked.
 const DRAIN_CHECK_INTERVAL: Ticks = Ticks(200);
 
 /// Holds the state of a running sidecar.
--- a/crates/sidecar/src/settings.rs
+++ b/crates/sidecar/src/settings.rs
@@ -7,18 +7,18 @@
 use doorproxy::settings::{DedupScope, Idempotency, RequestClass, Settings, SlowStart};
 use doorproxy_config::sidecar::{self, SidecarConfig};
 
-/// Maximum number of attempts of a request: the first one and two retries.
+/// Allows the first attempt of a request and two retries.
 const MAX_ATTEMPTS: u16 = 3;
-/// Maximum `Retry-After` of a rejected request.
+/// Limits the `Retry-After` of a rejected request.
 pub const MAX_RETRY_AFTER: Ticks = Ticks(20_000);
 const MICROS_PER_TICK: u128 = 100;
-/// Factor by which the priority weight of a request is reduced above its tenant's quota.
+/// Scales the priority weight of a request above its tenant's quota.
 const OVER_QUOTA_FACTOR: f64 = 0.1;
 const MAX_POLL_INTERVAL_SECONDS: f64 = 10.0;
 const WARM_UP_SECONDS: f64 = 20.0;
 const OVERLOAD_WINDOW_SECONDS: f64 = 2.0;
 const OVERLOAD_FACTOR: f64 = 2.5;
-/// Share of its capacity that an endpoint may use at its start.
+/// Sets the share of its capacity that an endpoint may use at its start.
 const SLOW_START_FRACTION: f64 = 0.2;
 
 /// Converts a standard duration to ticks, rounded down.
