--- a/crates/balancer/src/http.rs
+++ b/crates/balancer/src/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP side that clients connect to: connections, request heads, bodies, dispatch and shutdown.
+//! The HTTP server for clients: connections, request heads, bodies, dispatch and shutdown.
 
 pub mod body;
 pub mod client_connections;
@@ -19,14 +19,15 @@
 
 use doorproxy::ids::Ticks;
 
-/// Connections that the kernel queues until they are accepted.
+/// Maximum number of connections that the kernel queues until they are accepted.
 pub const LISTEN_BACKLOG: u32 = 1024;
-/// Kernel send buffer of a client connection, in bytes: a buffered response fits, so that closing the connection does
-/// not cut it off.
+/// Size of the kernel send buffer of a client connection, in bytes. A buffered response fits in it, so
+/// closing the connection does not truncate the response.
 pub const SEND_BUFFER_BYTES: u32 = 2 * MAX_BUFFERED_BYTES as u32;
-/// Longest body that is buffered whole, in bytes.
+/// Maximum length of a body that is buffered whole, in bytes.
 pub const MAX_BUFFERED_BYTES: usize = 64 << 10;
-/// Longest body that is streamed, in bytes. Longer bodies are rejected or cut off.
+/// Maximum length of a streamed body, in bytes. A longer body is rejected, or aborted if its length was not
+/// announced.
 pub const MAX_STREAMED_BYTES: u64 = 48 << 20;
-/// A stream is aborted after this time without progress of either side.
+/// A stream is aborted after this time without progress on either side.
 pub const STREAM_IDLE_TIMEOUT: Ticks = Ticks(100_000);
--- a/crates/balancer/src/http/body.rs
+++ b/crates/balancer/src/http/body.rs
@@ -11,10 +11,10 @@
 /// Why a body could not be read.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum BodyError {
-    /// It is longer than allowed.
+    /// The body is longer than allowed.
     #[error("the body is too large")]
     TooLarge,
-    /// The connection broke before its last byte.
+    /// The connection broke before the last byte of the body.
     #[error("the body broke off")]
     Incomplete,
 }
@@ -23,7 +23,8 @@
 ///
 /// # Errors
 ///
-/// [`BodyError::TooLarge`] before anything is read if the announced length exceeds the limit.
+/// Fails with [`BodyError::TooLarge`] if the body is longer than the limit, before anything is read if its
+/// length is announced, and with [`BodyError::Incomplete`] if the body can't be read to its end.
 pub async fn collect_body<B>(body: B) -> Result<Bytes, BodyError>
 where
     B: Body,
--- a/crates/balancer/src/http/client_connections.rs
+++ b/crates/balancer/src/http/client_connections.rs
@@ -1,4 +1,4 @@
-//! All client connections of a process: how many there may be, and which are evicted for others.
+//! All client connections of a process: limits their number and evicts idle ones to make room for others.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -17,15 +17,15 @@
 use crate::runtime::{Listener, Runtime, duration};
 use crate::sync::lock;
 
-/// How often connections are evicted and the stall detector is fed.
+/// Interval at which idle connections are evicted and the stall detector is updated.
 const MAINTENANCE_INTERVAL: Ticks = Ticks(500);
-/// How long accepting waits for a connection to close before it looks again.
-const FULL_WAIT: Ticks = Ticks(1000);
-/// Wait after a failed accept: most often no descriptor is free, and one may be soon.
+/// Maximum time that accepting waits for a connection to close before it checks the limit again.
+const RECHECK_INTERVAL: Ticks = Ticks(1000);
+/// Wait after a failed accept. Usually no file descriptor is free, and one may become free soon.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// Part of the sockets, as its inverse, that idle client connections may hold.
+/// Idle connections are evicted while client connections hold more than one in this many sockets.
 const IDLE_SOCKETS_DIVISOR: usize = 6;
-/// Part of the active limit, as its inverse, that is accepted beyond it.
+/// One connection in this many of the active limit is accepted beyond the limit.
 const EXTRA_CONNECTIONS_DIVISOR: usize = 20;
 
 /// The client connections of one process.
@@ -39,7 +39,7 @@
 }
 
 impl<R: Runtime> ClientConnections<R> {
-    /// No connections yet; the process may use `max_sockets` for clients and endpoints together.
+    /// Creates an empty set. The process may use `max_sockets` sockets for clients and endpoints together.
     pub fn new(runtime: R, max_sockets: usize) -> Arc<ClientConnections<R>> {
         let stall_detector = Arc::new(Mutex::new(StallDetector::new(runtime.now())));
         Arc::new(ClientConnections {
@@ -52,7 +52,7 @@
         })
     }
 
-    /// Changes how many sockets the process may use: sibling processes use the rest.
+    /// Changes the number of sockets that the process may use; sibling processes use the rest.
     pub fn set_max_sockets(&self, max_sockets: usize) {
         self.max_sockets.store(max_sockets, Ordering::Relaxed);
     }
@@ -61,7 +61,7 @@
         self.max_sockets.load(Ordering::Relaxed)
     }
 
-    /// How many connections may have a request in flight.
+    /// Returns the active limit: how many connections may have a request in flight.
     fn max_active(&self) -> usize {
         self.max_sockets() * 10 / 16
     }
@@ -70,12 +70,12 @@
         lock(&self.connections)
     }
 
-    /// The number of open connections.
+    /// Returns the number of open connections.
     pub fn count(&self) -> usize {
         self.connections().len()
     }
 
-    /// Asks all connections without a request to close, except those that were accepted just now.
+    /// Asks all connections to close once they have no request, except those that were accepted just now.
     pub fn close_all(&self) {
         let now = self.runtime.now();
         for client in self.connections().values() {
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Evicts up to `max_count` connections without a request, first those that never completed one.
+    /// Evicts up to `max_count` connections that are idle or receive a request too slowly, starting with
+    /// those that never completed a request.
     pub fn close_idle(&self, max_count: usize) {
         let connections = self.connections();
         let now = self.runtime.now();
@@ -99,8 +100,8 @@
         }
     }
 
-    /// Evicts idle connections once more than a sixth of the sockets are client connections, and feeds the stall
-    /// detector. Runs forever.
+    /// Periodically evicts idle connections while clients hold more than a sixth of the sockets, and updates
+    /// the stall detector. Never completes.
     pub async fn run_maintenance(&self) {
         loop {
             self.runtime.sleep(duration(MAINTENANCE_INTERVAL)).await;
@@ -119,15 +120,15 @@
         }
     }
 
-    /// Whether seven eighths of the active limit are reached.
+    /// Returns whether the open connections have reached seven eighths of the active limit.
     pub fn is_nearly_full(&self) -> bool {
         self.count() * 8 >= self.max_active() * 7
     }
 
-    /// Whether requests are rejected because the active limit is reached.
+    /// Returns whether requests are rejected because the active limit is reached.
     ///
-    /// Slightly more connections are accepted than may carry a request, so that requests beyond the limit are rejected
-    /// at once instead of waiting in the backlog.
+    /// Slightly more connections are accepted than may have a request in flight, so that requests beyond the
+    /// limit are rejected at once instead of waiting in the backlog.
     pub fn is_full(&self) -> bool {
         let connections = self.connections();
         let max_active = self.max_active();
@@ -135,7 +136,7 @@
         connections.len() > max_active && active() >= max_active
     }
 
-    /// Accepts a connection once there is room, evicting one if needed.
+    /// Accepts a connection once there is room for it, evicting another one if necessary.
     ///
     /// Cancel safe.
     pub async fn accept(&self, listener: &R::Listener) -> R::Stream {
@@ -145,7 +146,8 @@
                 self.close_idle(1);
             }
             if self.count() >= max_active + max_active / EXTRA_CONNECTIONS_DIVISOR {
-                let _ = self.runtime.timeout(duration(FULL_WAIT), self.connection_closed.notified()).await;
+                let _ =
+                    self.runtime.timeout(duration(RECHECK_INTERVAL), self.connection_closed.notified()).await;
                 continue;
             }
             match listener.accept().await {
@@ -160,7 +162,7 @@
         }
     }
 
-    /// Serves the connection in a task of its own.
+    /// Serves a connection in a new task.
     pub fn spawn(self: &Arc<Self>, router: &Router, stream: R::Stream) {
         if self.is_nearly_full() {
             self.close_idle(1);
--- a/crates/balancer/src/http/connection.rs
+++ b/crates/balancer/src/http/connection.rs
@@ -1,4 +1,5 @@
-//! One client connection, as the tasks that read, answer and evict it share it.
+//! The state of one client connection, shared by the tasks that read requests from it, respond on it and
+//! evict it.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -11,59 +12,59 @@
 use crate::runtime::stall_detector::StallDetector;
 use crate::sync::lock;
 
-/// One client connection.
+/// A client connection.
 pub struct ClientConnection<R> {
     runtime: R,
     stall_detector: Arc<Mutex<StallDetector>>,
     inner: Mutex<Inner>,
-    /// Signalled when the connection is to close. Stores one permit.
+    /// Notified when the connection should close. Stores one permit.
     pub close_requested: Notify,
-    /// Signalled when bytes behind the request in flight are left unread, behind which the client may have closed.
-    /// Stores one permit.
+    /// Notified when bytes after the request in flight are left unread: a close by the client would come
+    /// after them and go unnoticed. Stores one permit.
     pub unread_input: Notify,
 }
 
 struct Inner {
     state: ConnectionState,
-    /// The HTTP library has a head whose response it has not been given yet.
+    /// Whether the HTTP library has received a head and not been given its response yet.
     awaits_response: bool,
-    /// Nothing behind the request that arrives is read.
+    /// Whether the current request is the last one that is read from the connection.
     is_last_request: bool,
-    /// A response was given before the last byte of its request had arrived.
-    is_answered_early: bool,
+    /// Whether a response was given before the last byte of its request had arrived.
+    has_early_response: bool,
     client_error: Option<ClientError>,
-    /// Arrival of the last bytes that were waited for.
+    /// Arrival time of the last bytes that had to be waited for.
     last_received_at: Timestamp,
 }
 
-/// What is known of the pace at which a client sends a body.
+/// The pace at which a client sends a body.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceivePace {
     /// The current time.
     pub now: Timestamp,
-    /// Arrival of the last bytes that were waited for.
+    /// Arrival time of the last bytes that had to be waited for.
     pub last_received_at: Timestamp,
-    /// Whether more bytes are waited for now.
+    /// Whether the reader is waiting for more bytes.
     pub is_waiting: bool,
 }
 
 impl Inner {
-    fn note_early_answer(&mut self) {
+    fn record_early_response(&mut self) {
         if let ConnectionState::Receiving(progress) = self.state {
-            self.is_answered_early |= progress.has_remaining_bytes();
+            self.has_early_response |= progress.has_remaining_bytes();
         }
     }
 }
 
 impl<R: Runtime> ClientConnection<R> {
-    /// A connection that was accepted now.
+    /// Creates the state of a connection that was accepted just now.
     pub fn new(runtime: R, stall_detector: Arc<Mutex<StallDetector>>) -> ClientConnection<R> {
         let now = runtime.now();
         let inner = Inner {
             state: ConnectionState::New(now),
             awaits_response: false,
             is_last_request: false,
-            is_answered_early: false,
+            has_early_response: false,
             client_error: None,
             last_received_at: now,
         };
@@ -80,40 +81,42 @@
         lock(&self.inner)
     }
 
-    /// The current state.
+    /// Returns the current state.
     pub fn state(&self) -> ConnectionState {
         self.inner().state
     }
 
-    /// The earliest time at which what is read now can have arrived.
+    /// Returns the earliest time at which bytes that are read now can have arrived.
     pub fn earliest_arrival(&self) -> Timestamp {
         lock(&self.stall_detector).earliest_arrival(self.runtime.now(), self.runtime.caught_up_to())
     }
 
-    /// The current time.
+    /// Returns the current time.
     pub fn now(&self) -> Timestamp {
         self.runtime.now()
     }
 
-    /// A head was passed to the HTTP library. Nothing behind its request is read if it is the last.
+    /// Records that a head was passed to the HTTP library. If `is_last`, nothing after its request is read.
     pub fn expect_response(&self, is_last: bool) {
         let mut inner = self.inner();
         inner.awaits_response = true;
         inner.is_last_request |= is_last;
     }
 
-    /// Whether the HTTP library has a head without a response, in whatever state the connection is.
+    /// Returns whether the HTTP library has received a head and not been given its response, in any
+    /// connection state.
     pub fn awaits_response(&self) -> bool {
         self.inner().awaits_response
     }
 
-    /// The first byte of a request has arrived.
+    /// Records that the first byte of a request has arrived.
     pub fn on_first_byte(&self) {
         let now = self.runtime.now();
         self.inner().state.on_first_byte(now);
     }
 
-    /// A head is whole: head and body have `length` bytes, and what is read of them arrived by `arrived_at`.
+    /// Records that a head is complete. Head and body have `length` bytes, and those read so far arrived by
+    /// `arrived_at`.
     pub fn on_head(&self, length: usize, arrived_at: Timestamp) {
         let mut inner = self.inner();
         inner.last_received_at = arrived_at;
@@ -122,7 +125,7 @@
         }
     }
 
-    /// So many bytes of the request were passed on.
+    /// Records that `bytes` bytes of the request were passed to the HTTP library.
     pub fn on_bytes_read(&self, bytes: usize) {
         let now = self.runtime.now();
         let arrived_at = self.earliest_arrival();
@@ -134,7 +137,7 @@
         }
     }
 
-    /// More of the request was asked for and has not arrived.
+    /// Records that the HTTP library asked for more of the request and that none has arrived.
     pub fn on_read_pending(&self) {
         let now = self.runtime.now();
         if let Some(progress) = self.inner().state.receive_progress() {
@@ -142,17 +145,18 @@
         }
     }
 
-    /// The request was read whole.
+    /// Records that the whole request was read.
     pub fn on_request_complete(&self) {
         self.inner().state = ConnectionState::AwaitingResponse;
     }
 
-    /// Arrival of the last bytes that were waited for. Later ones had arrived by then, as far as is known.
+    /// Returns the arrival time of the last bytes that had to be waited for. All bytes read after them had
+    /// arrived by then, as far as is known.
     pub fn last_received_at(&self) -> Timestamp {
         self.inner().last_received_at
     }
 
-    /// The pace at which the client sends a body.
+    /// Returns the pace at which the client sends a body.
     pub fn receive_pace(&self) -> ReceivePace {
         let now = self.runtime.now();
         let inner = self.inner();
@@ -160,47 +164,48 @@
         ReceivePace { now, last_received_at: inner.last_received_at, is_waiting }
     }
 
-    /// A response begins to be streamed.
+    /// Records that a response starts to be streamed.
     pub fn on_response_started(&self) {
         let now = self.runtime.now();
         let mut inner = self.inner();
-        inner.note_early_answer();
+        inner.record_early_response();
         inner.state = ConnectionState::Responding(now);
     }
 
-    /// More of a streamed response was asked for.
+    /// Records that the HTTP library asked for more of a streamed response.
     pub fn on_response_polled(&self) {
         let now = self.runtime.now();
-        if let ConnectionState::Responding(moved_at) = &mut self.inner().state {
-            *moved_at = now;
+        if let ConnectionState::Responding(last_progress_at) = &mut self.inner().state {
+            *last_progress_at = now;
         }
     }
 
-    /// A response was given whole.
+    /// Records that a whole response was given to the HTTP library.
     pub fn on_response_finished(&self) {
         let now = self.runtime.now();
         let mut inner = self.inner();
-        inner.note_early_answer();
+        inner.record_early_response();
         inner.state = ConnectionState::Idle(now);
         inner.awaits_response = false;
     }
 
-    /// Whether the connection closes after the response.
+    /// Returns whether the connection closes after the current response.
     pub fn is_last_request(&self) -> bool {
         self.inner().is_last_request
     }
 
-    /// Whether the client may still be sending the request that was answered.
-    pub fn is_answered_early(&self) -> bool {
-        self.inner().is_answered_early
+    /// Returns whether the client may still be sending a request whose response was given already.
+    pub fn has_early_response(&self) -> bool {
+        self.inner().has_early_response
     }
 
-    /// Nothing more is read from the connection; the client is told why once the HTTP library has let go of it.
+    /// Sets the error that is sent to the client once the HTTP library has released the connection. Nothing
+    /// more is read from the connection.
     pub fn set_client_error(&self, error: ClientError) {
         self.inner().client_error = Some(error);
     }
 
-    /// Takes the error to tell the client.
+    /// Takes the error that is to be sent to the client.
     pub fn take_client_error(&self) -> Option<ClientError> {
         self.inner().client_error.take()
     }
@@ -211,7 +216,7 @@
         self.close_requested.notify_one();
     }
 
-    /// When the time of the connection is up unless it makes progress.
+    /// Returns the time at which the connection is closed unless it makes progress before.
     pub fn deadline(&self) -> Timestamp {
         let now = self.runtime.now();
         self.inner().state.deadline(now)
--- a/crates/balancer/src/http/connection_state.rs
+++ b/crates/balancer/src/http/connection_state.rs
@@ -1,4 +1,5 @@
-//! The states of a client connection: how far its request or response has come, and when its time is up.
+//! The states of a client connection: the progress of its request or response, and its deadline in each
+//! state.
 
 use doorproxy::ids::{Ticks, Timestamp};
 
@@ -6,51 +7,52 @@
 
 /// A connection without a request is closed after this time.
 const IDLE_TIMEOUT: Ticks = Ticks(100_000);
-/// From the first byte of a head to its last; on a new connection, from accept.
+/// Maximum time from the first byte of a head to its last; on a new connection, the time runs from accept.
 pub const HEAD_TIMEOUT: Ticks = Ticks(25_000);
-/// Longest single pause of a body, and total of all pauses beyond what its bytes take at the slowest pace.
+/// Maximum length of a single pause in a body. The pauses together may take this much longer than the body
+/// takes at the minimum rate.
 const MAX_BODY_PAUSE: Ticks = Ticks(20_000);
-/// 32 kB/s, averaged over the whole body.
+/// Minimum rate at which a body has to arrive, averaged over the whole body: 32 kB/s.
 const MIN_BODY_BYTES_PER_TICK: f64 = 3.2;
-/// A new connection is not evicted before this age: its request may be on the way.
+/// A new connection is not evicted before this age, because its first request may be in transit.
 const NEW_CONNECTION_GRACE: Ticks = Ticks(2000);
-/// An idle connection is not evicted before this time.
+/// An idle connection is not evicted before it has been idle for this time.
 const IDLE_EVICTION_TIME: Ticks = Ticks(1000);
-/// Part of [`HEAD_TIMEOUT`] after which a request that arrives slowly may be evicted.
+/// Fraction of [`HEAD_TIMEOUT`] after which a connection whose request arrives slowly may be evicted.
 const SLOW_REQUEST_RATIO: f64 = 0.5;
 
-/// What a client connection does.
+/// The state of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectionState {
-    /// Accepted at that time; no request has begun to arrive.
+    /// The connection was accepted at this time, and no byte of a request has arrived.
     New(Timestamp),
-    /// Without a request since then.
+    /// The connection has had no request since this time.
     Idle(Timestamp),
     /// A request is arriving.
     Receiving(ReceiveProgress),
-    /// A request was read whole and has no response yet.
+    /// A whole request was read, and its response has not started.
     AwaitingResponse,
-    /// A response is streamed, and made progress last at that time.
+    /// A response is being streamed; its last progress was at this time.
     Responding(Timestamp),
-    /// To be closed while without a request.
+    /// The connection is to be closed while it has no request.
     Closing,
-    /// To be closed because its request arrives too slowly.
+    /// The connection is to be closed because its request arrives too slowly.
     Aborting,
 }
 
-/// How far a request has arrived.
+/// How much of a request has arrived.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReceiveProgress {
     started_at: Timestamp,
-    /// Known once the head is whole.
+    /// The length of the request, known once its head is complete.
     length: Option<ReceivedLength>,
-    /// Total time in which the body was waited for. Time in which nobody reads does not count.
+    /// Total time spent waiting for the body. Time in which nothing reads the body does not count.
     time_waited: Ticks,
-    /// Since when the body is waited for now.
+    /// Start of the current wait for the body; `None` if nothing waits for it.
     waiting_since: Option<Timestamp>,
 }
 
-/// How many bytes of a request have arrived, and how many have not.
+/// How many bytes of a request have arrived, and how many are missing.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct ReceivedLength {
     received: u64,
@@ -62,7 +64,7 @@
         ReceiveProgress { started_at, length: None, time_waited: Ticks::ZERO, waiting_since: None }
     }
 
-    /// Since when nothing has arrived that was waited for.
+    /// Returns the time since which expected bytes have not arrived; `None` if none are waited for.
     fn silent_since(&self) -> Option<Timestamp> {
         if self.length.is_none() { Some(self.started_at) } else { self.waiting_since }
     }
@@ -70,8 +72,8 @@
     fn deadline(&self, now: Timestamp) -> Timestamp {
         let Some(length) = self.length else { return self.started_at + HEAD_TIMEOUT };
         let Some(since) = self.waiting_since else { return now + MAX_BODY_PAUSE };
-        let earned = MAX_BODY_PAUSE + Ticks((length.received as f64 / MIN_BODY_BYTES_PER_TICK) as i64);
-        since + Ticks((earned.0 - self.time_waited.0).clamp(0, MAX_BODY_PAUSE.0))
+        let allowance = MAX_BODY_PAUSE + Ticks((length.received as f64 / MIN_BODY_BYTES_PER_TICK) as i64);
+        since + Ticks((allowance.0 - self.time_waited.0).clamp(0, MAX_BODY_PAUSE.0))
     }
 
     pub(super) fn has_remaining_bytes(&self) -> bool {
@@ -85,7 +87,7 @@
         }
     }
 
-    /// The head is whole, and the request has so many bytes.
+    /// Records that the head is complete and that head and body together have `length` bytes.
     pub(super) fn on_head(&mut self, length: u64) {
         self.length = Some(ReceivedLength { received: 0, remaining: length });
     }
@@ -94,12 +96,12 @@
         self.waiting_since.is_some()
     }
 
-    /// Begins a pause, unless there is one.
+    /// Starts a wait for the body, unless one has started already.
     pub(super) fn start_wait(&mut self, now: Timestamp) {
         self.waiting_since.get_or_insert(now);
     }
 
-    /// Ends a pause; false if there was none.
+    /// Ends the current wait for the body. Returns false if there was none.
     pub(super) fn end_wait(&mut self, now: Timestamp) -> bool {
         let Some(since) = self.waiting_since.take() else { return false };
         self.time_waited = self.time_waited + (now - since);
@@ -108,23 +110,24 @@
 }
 
 impl ConnectionState {
-    /// Whether the connection was accepted so recently that its first request may be on the way.
+    /// Returns whether the connection was accepted so recently that its first request may be in transit.
     pub fn is_new(&self, now: Timestamp) -> bool {
         matches!(*self, ConnectionState::New(since) if now - since <= NEW_CONNECTION_GRACE)
     }
 
-    /// Whether some of a request has been read, so that a close would lose it.
+    /// Returns whether part of a request has been read, so that closing the connection would lose it.
     pub fn is_receiving(&self) -> bool {
         matches!(self, ConnectionState::Receiving(_))
     }
 
-    /// Whether a request was read whole and is not answered.
+    /// Returns whether a whole request was read and its response is not finished.
     pub fn has_request(&self) -> bool {
         matches!(self, ConnectionState::AwaitingResponse | ConnectionState::Responding(_))
     }
 
-    /// The rank among the connections that may be evicted, lowest first: those that never completed a request come
-    /// before those that are idle between requests. `None` if the connection may not be evicted.
+    /// Returns the rank among the connections that may be evicted, lowest first; `None` if the connection may
+    /// not be evicted. Connections that never completed a request rank before those that are idle between
+    /// requests.
     pub fn eviction_rank(&self, now: Timestamp) -> Option<Timestamp> {
         match *self {
             ConnectionState::New(since) if now - since > NEW_CONNECTION_GRACE => Some(since - HEAD_TIMEOUT),
@@ -138,14 +141,14 @@
         }
     }
 
-    /// When the time of the connection is up unless it makes progress.
+    /// Returns the time at which the connection is closed unless it makes progress before.
     pub fn deadline(&self, now: Timestamp) -> Timestamp {
         match *self {
             ConnectionState::New(since) => since + HEAD_TIMEOUT,
             ConnectionState::Receiving(progress) => progress.deadline(now),
             ConnectionState::Idle(since) => since + IDLE_TIMEOUT,
-            ConnectionState::Responding(moved_at) => moved_at + STREAM_IDLE_TIMEOUT,
-            // Without a limit here: looked at again after this time.
+            ConnectionState::Responding(last_progress_at) => last_progress_at + STREAM_IDLE_TIMEOUT,
+            // These states have no time limit of their own; the deadline is computed again after this time.
             ConnectionState::AwaitingResponse | ConnectionState::Closing | ConnectionState::Aborting => {
                 now + HEAD_TIMEOUT
             }
@@ -157,7 +160,7 @@
             ConnectionState::New(accepted_at) => {
                 *self = ConnectionState::Receiving(ReceiveProgress::new(accepted_at));
             }
-            // The request crossed the decision to close, and is served.
+            // The request was sent before the client could see that the connection closes, so it is served.
             ConnectionState::Idle(_) | ConnectionState::Closing => {
                 *self = ConnectionState::Receiving(ReceiveProgress::new(now));
             }
--- a/crates/balancer/src/http/dispatch.rs
+++ b/crates/balancer/src/http/dispatch.rs
@@ -1,5 +1,5 @@
-//! One request from its submission to the dispatcher to its final response, with its attempts. Shared by the balancer
-//! and the sidecar.
+//! Handles one request from its submission to the dispatcher to its final response, including its attempts.
+//! The balancer and the sidecar share this module.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -19,33 +19,34 @@
 use crate::runtime::Runtime;
 use crate::upstream::{AttemptResult, OutgoingRequest, UpstreamClient};
 
-/// A request without a decision is failed here so long after its deadline, as a last resort.
+/// As a last resort, a request without a decision fails this long after its deadline.
 const DECISION_GRACE: Ticks = Ticks(100);
 
-/// An upstream service: the dispatcher that decides for it, and the connections to its endpoints.
+/// An upstream service: its dispatcher and the client that connects to its endpoints.
 pub trait UpstreamService<R: Runtime>: Send + Sync + 'static {
-    /// Decides which attempts are made.
+    /// Returns the dispatcher, which decides on the attempts.
     fn dispatcher(&self) -> &Dispatcher;
 
-    /// Makes the attempts.
+    /// Returns the client that makes the attempts.
     fn upstream_client(&self) -> &UpstreamClient<R>;
 
-    /// Counts requests and attempts.
+    /// Returns the metrics, which count requests and attempts.
     fn metrics(&self) -> &Arc<Metrics>;
 }
 
-/// A request that was read and may be submitted.
+/// A request that was read and can be submitted to the dispatcher.
 pub struct ReceivedRequest {
-    /// What the dispatcher is told. Its timeout counts from the request's last byte.
+    /// The request as it is submitted to the dispatcher. Its timeout runs from the last byte of the request.
     pub request: NewRequest,
     /// The head to forward.
     pub head: Parts,
-    /// The body, or its beginning.
+    /// The body, or its first bytes with the rest still to be read.
     pub body: RequestBody,
 }
 
 impl ReceivedRequest {
-    /// What the dispatcher is told, with the time left until the deadline, and what the attempts send.
+    /// Splits the request into the part for the dispatcher, whose timeout becomes the time left until the
+    /// deadline, and the part that the attempts send.
     fn split(self, received_at: Timestamp, now: Timestamp) -> (NewRequest, OutgoingRequest) {
         let ReceivedRequest { mut request, head, body } = self;
         let timeout = request.timeout;
@@ -55,7 +56,7 @@
     }
 }
 
-/// Completes once a request should long have had a decision.
+/// Completes [`DECISION_GRACE`] after the deadline of a request, by which it should have a decision.
 fn wait_for_decision_deadline<R: Runtime>(
     runtime: &R,
     outgoing: &OutgoingRequest,
@@ -65,7 +66,8 @@
     outgoing.body.wait_for_timeout(runtime, deadline, timeout)
 }
 
-/// A request in flight. Tells the dispatcher that the client has gone if it is dropped before the response.
+/// Guards a request in flight: if it is dropped before the response, the dispatcher is told that the client
+/// has gone.
 struct RequestGuard<'a, R: Runtime> {
     runtime: &'a R,
     dispatcher: &'a Dispatcher,
@@ -78,10 +80,11 @@
     }
 }
 
-/// Submits a request, makes the attempts that the dispatcher asks for, and returns the response for the client.
+/// Submits a request, makes the attempts that the dispatcher asks for, and returns the response for the
+/// client.
 ///
-/// `class` is the name under which a streamed response is counted. Once `grace_end` completes, the dispatcher is asked
-/// to expire the request. `on_response` may change the head of an endpoint's response.
+/// `class` is the name under which a streamed response is counted. Once `grace_end` completes, the dispatcher
+/// is told to expire the request. `on_response` may change the head of an endpoint's response.
 ///
 /// Dropping the future reports to the dispatcher that the client has gone.
 pub async fn dispatch<R: Runtime, U: UpstreamService<R>>(
@@ -96,8 +99,8 @@
     let now = runtime.now();
     let (request, outgoing) = received.split(client.last_received_at(), now);
     let outgoing = Arc::new(outgoing);
-    let overdue = wait_for_decision_deadline(runtime, &outgoing);
-    tokio::pin!(overdue, grace_end);
+    let decision_timeout = wait_for_decision_deadline(runtime, &outgoing);
+    tokio::pin!(decision_timeout, grace_end);
     let in_flight = service.metrics().start_request();
     let dispatcher = service.dispatcher();
     let request_id = dispatcher.submit(now, request);
@@ -118,12 +121,13 @@
             next = dispatcher.next_step(request_id) => match next {
                 NextStep::Attempt(attempt) => {
                     let sender = response_sender.clone();
-                    runtime.spawn(run_attempt(runtime.clone(), service.clone(), attempt, outgoing.clone(), sender));
+                    let outgoing = outgoing.clone();
+                    runtime.spawn(run_attempt(runtime.clone(), service.clone(), attempt, outgoing, sender));
                 }
                 NextStep::Reject { retry_after } => return rejected_response(retry_after),
                 NextStep::Fail => return failed_response(),
             },
-            () = &mut overdue => {
+            () = &mut decision_timeout => {
                 log_line!(*runtime, "request {} got no decision before its deadline", request_id.0);
                 return failed_response();
             }
@@ -135,7 +139,7 @@
     }
 }
 
-/// Makes one attempt and reports its result, also where the request is over or its client has gone.
+/// Makes one attempt and reports its result, even if the request is finished or its client has gone.
 async fn run_attempt<R: Runtime, U: UpstreamService<R>>(
     runtime: R,
     service: Arc<U>,
@@ -150,7 +154,7 @@
     if let AttemptResult::Succeeded(response) = result
         && is_final
     {
-        // Fails only if the client has gone.
+        // Sending only fails if the client has gone.
         let _ = response_sender.try_send(response);
     }
 }
--- a/crates/balancer/src/http/framing.rs
+++ b/crates/balancer/src/http/framing.rs
@@ -1,4 +1,4 @@
-//! The length of a request by its head.
+//! Determines the length of a request from its head.
 
 use axum::http::StatusCode;
 use thiserror::Error;
@@ -8,34 +8,34 @@
 
 const MAX_HEADER_FIELDS: usize = 64;
 
-/// Why nothing more is read from a client.
+/// An error of a client after which nothing more is read from its connection.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum ClientError {
-    /// Its head is longer, or has more fields, than allowed.
+    /// The head is longer, or has more fields, than allowed.
     #[error("the head is too large")]
     HeadTooLarge,
-    /// Its head is malformed.
+    /// The head is malformed.
     #[error("this is no HTTP/1.1 head")]
     MalformedHead,
-    /// Its `Transfer-Encoding` is not understood.
+    /// The `Transfer-Encoding` is not supported.
     #[error("a transfer-encoding other than chunked, once")]
     TransferEncoding,
-    /// Its `Content-Length` is malformed or repeated.
+    /// The `Content-Length` is malformed or repeated.
     #[error("a content-length other than whole digits, once")]
     ContentLength,
-    /// Its length is given in two ways.
+    /// The head has both a `Content-Length` and a `Transfer-Encoding`.
     #[error("both a content-length and a transfer-encoding")]
     AmbiguousLength,
-    /// Its body is longer than [`MAX_STREAMED_BYTES`].
+    /// The body is longer than [`MAX_STREAMED_BYTES`].
     #[error("the body is too large")]
     BodyTooLarge,
-    /// Its request did not arrive in time.
+    /// The request did not arrive in time.
     #[error("the op did not come in time")]
     Timeout,
 }
 
 impl ClientError {
-    /// The status of the response.
+    /// Returns the status of the response to the client.
     pub fn status(self) -> StatusCode {
         match self {
             ClientError::HeadTooLarge => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
@@ -52,17 +52,18 @@
 /// How many bytes of the input belong to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RequestLength {
-    /// Head and body together.
+    /// The length of head and body together.
     Known(usize),
-    /// Only the HTTP library sees the end of the body: nothing behind it is read as a request.
+    /// The body is chunked, and only the HTTP library finds its end. Nothing after it is read as a request.
     Chunked,
 }
 
-/// The length of the request at the beginning of `input`, or `None` while its head is incomplete.
+/// Returns the length of the request at the beginning of `input`, or `None` while its head is incomplete.
 ///
 /// # Errors
 ///
-/// If the head is malformed, or leaves the length in doubt: endpoints could then find another request within the body.
+/// Fails if the head is malformed, too large, or ambiguous about the length. With an ambiguous length, an
+/// endpoint could find another request inside the body (request smuggling).
 pub(super) fn parse_request_length(input: &[u8]) -> Result<Option<RequestLength>, ClientError> {
     if input.is_empty() {
         return Ok(None);
@@ -113,6 +114,6 @@
     if digits.is_empty() || !digits.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(ClientError::ContentLength);
     }
-    // A number that does not fit is too large as well.
+    // A number that overflows counts as too large.
     Ok(digits.parse().unwrap_or(usize::MAX))
 }
--- a/crates/balancer/src/http/handler.rs
+++ b/crates/balancer/src/http/handler.rs
@@ -1,4 +1,4 @@
-//! Handling of one request, from its head to its response.
+//! Handles one request, from its head to its response.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex};
@@ -20,10 +20,11 @@
 use crate::runtime::Runtime;
 use crate::sync::lock;
 
-/// Allowance for the network way to the client and back: its clock starts when it sends the request.
+/// Allowance for the network round trip to the client, whose own timeout starts when it sends the request.
 const CLIENT_MARGIN: Ticks = Ticks(200);
 
-/// Ids of the requests in flight. Endpoints would take two requests of one id for one that is sent twice.
+/// Ids of the requests in flight. Endpoints would take two requests with the same id for duplicates of one
+/// request.
 #[derive(Default)]
 pub(super) struct OpenRequestIds(Mutex<BTreeSet<String>>);
 
@@ -36,7 +37,7 @@
     }
 }
 
-/// An id that no other request may have while this is held.
+/// The id of a request in flight. No other request can have this id until it is dropped.
 struct OpenRequestId<'a> {
     open_ids: &'a OpenRequestIds,
     id: String,
@@ -79,10 +80,11 @@
     request: Request,
 ) -> Result<ReceivedRequest, RequestError> {
     let (mut head, body) = request.into_parts();
-    // Before the fields are read, so that they are the ones that are forwarded.
+    // This precedes the parsing, so that the parsed fields are the forwarded ones.
     prepare_for_upstream::<Arc<ClientConnection<R>>>(&mut head);
     let request = parse_request(&server.config, &head.headers)?;
-    // Both HTTP libraries would treat what follows the response to a CONNECT as a tunnel.
+    // The HTTP library, as server and as client, would treat the bytes after the response to a CONNECT as a
+    // tunnel.
     if head.method == Method::CONNECT || !head.uri.path().starts_with('/') {
         return Err(RequestError::InvalidTarget);
     }
@@ -106,7 +108,7 @@
     dispatch(&server.runtime, server, client, received, class, grace_end, |_| {}).await
 }
 
-/// Tells the client if its connection will not be kept.
+/// Adds `Connection: close` if the connection will not be kept open.
 fn finish_response<R: Runtime>(server: &Server<R>, mut response: Response) -> Response {
     let is_closing = server.lifecycle.is_closing_idle(server.runtime.now());
     if is_closing || server.lifecycle.has_successor() || server.connections.is_nearly_full() {
--- a/crates/balancer/src/http/headers.rs
+++ b/crates/balancer/src/http/headers.rs
@@ -1,4 +1,4 @@
-//! Header fields that concern one connection only.
+//! Removal of hop-by-hop header fields, which apply to a single connection.
 
 use axum::http::request::Parts;
 use axum::http::{HeaderMap, HeaderName, Version, header};
@@ -16,7 +16,7 @@
     HeaderName::from_static("proxy-connection"),
 ];
 
-/// Removes the hop-by-hop fields, those named by `Connection` included (RFC 9110, section 7.6.1).
+/// Removes the hop-by-hop fields, including those named by `Connection` (RFC 9110, section 7.6.1).
 pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -30,13 +30,14 @@
     }
 }
 
-/// Turns a request head as received into one to forward.
+/// Prepares the head of a received request for forwarding.
 ///
-/// `T` is the type of the extension that the connection attached to the request.
+/// `T` is the type of the extension that the connection attached to the request; it is removed.
 pub fn prepare_for_upstream<T: Clone + Send + Sync + 'static>(head: &mut Parts) {
     remove_hop_by_hop_headers(&mut head.headers);
     head.extensions.remove::<T>();
-    // The beginning of the body is read before an attempt is sent, so the endpoint must not ask the client to wait.
+    // The beginning of the body is read before an attempt is sent, so the endpoint must not be asked for
+    // `100 Continue`.
     head.headers.remove(header::EXPECT);
     head.version = Version::HTTP_11;
 }
--- a/crates/balancer/src/http/lifecycle.rs
+++ b/crates/balancer/src/http/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The phases of a serving process, from its start to its end, and what each of them allows.
+//! The phases of a serving process from start to exit, and what the process does in each phase.
 
 use std::sync::Mutex;
 
@@ -8,20 +8,20 @@
 use crate::runtime::Runtime;
 use crate::sync::lock;
 
-/// Part of the grace period in which clients are still accepted and served after shutdown was requested: other
-/// balancers may be restarting too, and the clients of this one would find nobody else.
+/// Fraction of the grace period in which clients are still accepted and served after a shutdown request: if
+/// other balancers restart at the same time, the clients of this one would find no other.
 const SERVING_GRACE_RATIO: f64 = 2.0 / 3.0;
-/// Time after the end of the grace period in which the last responses are flushed.
+/// Time after the end of the grace period for flushing the last responses.
 const FINAL_FLUSH_TIME: Ticks = Ticks(3500);
 
-/// What a process does with its clients.
+/// The phase of a process in serving its clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessPhase {
-    /// Accepts connections and requests.
+    /// The process accepts connections and requests.
     Serving,
     /// A successor process accepts the new connections.
     Superseded {
-        /// Time at which the successor was seen to serve.
+        /// Time at which this process detected that the successor serves.
         since: Timestamp,
     },
     /// Shutdown was requested.
@@ -33,13 +33,13 @@
     DrainingSuperseded {
         /// Time of the shutdown request.
         requested_at: Timestamp,
-        /// Time at which the successor was seen to serve.
+        /// Time at which this process detected that the successor serves.
         since: Timestamp,
     },
 }
 
 impl ProcessPhase {
-    /// The time of the first shutdown request.
+    /// Returns the time of the first shutdown request.
     pub fn shutdown_requested_at(self) -> Option<Timestamp> {
         match self {
             ProcessPhase::Serving | ProcessPhase::Superseded { .. } => None,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Since when a successor process serves.
+    /// Returns the time since which a successor process serves.
     pub fn superseded_since(self) -> Option<Timestamp> {
         match self {
             ProcessPhase::Serving | ProcessPhase::Draining { .. } => None,
@@ -67,21 +67,21 @@
         }
     }
 
-    /// The phase after a shutdown request. Only the first request counts.
+    /// Returns the phase after a shutdown request. Requests after the first have no effect.
     #[must_use]
     pub fn on_shutdown_requested(self, now: Timestamp) -> ProcessPhase {
         let requested_at = self.shutdown_requested_at().unwrap_or(now);
         ProcessPhase::new(Some(requested_at), self.superseded_since())
     }
 
-    /// The phase once a successor serves, or, with `None`, once it has exited.
+    /// Returns the phase after a successor has started to serve, or, with `None`, after it has exited.
     #[must_use]
     pub fn on_successor(self, since: Option<Timestamp>) -> ProcessPhase {
         ProcessPhase::new(self.shutdown_requested_at(), since)
     }
 }
 
-/// The phase of a process, and how long its shutdown may take.
+/// The phase of a process and the time limits of its shutdown.
 pub struct Lifecycle {
     phase: Mutex<ProcessPhase>,
     grace_period: Ticks,
@@ -90,10 +90,10 @@
 }
 
 impl Lifecycle {
-    /// A serving process.
+    /// Creates the lifecycle of a serving process.
     ///
-    /// After a shutdown request it answers what it has within `grace_period`, and goes on accepting and serving for two
-    /// thirds of it, but at least for `min_serving_time`.
+    /// After a shutdown request the process finishes the requests in flight within `grace_period`. It keeps
+    /// accepting and serving for two thirds of that time, but at least for `min_serving_time`.
     pub fn new(grace_period: Ticks, min_serving_time: Ticks) -> Lifecycle {
         Lifecycle {
             phase: Mutex::new(ProcessPhase::Serving),
@@ -103,23 +103,23 @@
         }
     }
 
-    /// The current phase.
+    /// Returns the current phase.
     pub fn phase(&self) -> ProcessPhase {
         *lock(&self.phase)
     }
 
-    /// Whether shutdown was requested.
+    /// Returns whether shutdown was requested.
     pub fn is_draining(&self) -> bool {
         self.phase().shutdown_requested_at().is_some()
     }
 
-    /// Whether a successor process serves.
+    /// Returns whether a successor process serves.
     pub fn has_successor(&self) -> bool {
         self.phase().superseded_since().is_some()
     }
 
-    /// Records a shutdown request. [`Lifecycle::notify_shutdown`] has to follow where anything waits for the grace
-    /// period's end.
+    /// Records a shutdown request. Call [`Lifecycle::notify_shutdown`] afterwards to wake the requests that
+    /// wait for the end of the grace period.
     pub fn on_shutdown_requested(&self, now: Timestamp) {
         let mut phase = lock(&self.phase);
         *phase = phase.on_shutdown_requested(now);
@@ -130,19 +130,20 @@
         self.shutdown_notify.notify_waiters();
     }
 
-    /// Records that a successor serves, or, with `None`, that it has exited.
+    /// Records that a successor serves since a given time, or, with `None`, that it has exited.
     pub fn on_successor(&self, since: Option<Timestamp>) {
         let mut phase = lock(&self.phase);
         *phase = phase.on_successor(since);
     }
 
-    /// How long after a shutdown request clients are still served.
+    /// Returns how long clients are still served after a shutdown request.
     pub fn serving_time(&self) -> Ticks {
         self.grace_period.mul_f64(SERVING_GRACE_RATIO).max(self.min_serving_time)
     }
 
-    /// Whether idle connections are closed. A superseded process first tells its clients to reconnect, for the grace
-    /// period: a request that crosses a close has to be sent again.
+    /// Returns whether idle connections are closed. A superseded process first asks its clients to reconnect,
+    /// for the length of the grace period, because a request that is sent as its connection closes has to be
+    /// sent again.
     pub fn is_closing_idle(&self, now: Timestamp) -> bool {
         let phase = self.phase();
         let is_past =
@@ -151,17 +152,18 @@
             || is_past(phase.superseded_since(), self.grace_period)
     }
 
-    /// Whether the process ends even with connections open.
+    /// Returns whether the process exits even if connections are open.
     pub fn is_past_final_flush(&self, now: Timestamp) -> bool {
         let requested_at = self.phase().shutdown_requested_at();
         requested_at.is_some_and(|requested_at| now >= requested_at + self.grace_period + FINAL_FLUSH_TIME)
     }
 
-    /// Waits for the end of the grace period, after which requests that are still queued are lost with the process.
+    /// Waits for the end of the grace period, after which requests that are still queued are lost when the
+    /// process exits.
     ///
     /// Cancel safe.
     pub async fn wait_for_grace_end<R: Runtime>(&self, runtime: &R) {
-        // Created before the phase is read: `notify_waiters` wakes existing waiters only.
+        // This is created before the phase is read because `notify_waiters` only wakes existing waiters.
         let notified = self.shutdown_notify.notified();
         if !self.is_draining() {
             notified.await;
--- a/crates/balancer/src/http/request_body.rs
+++ b/crates/balancer/src/http/request_body.rs
@@ -1,5 +1,5 @@
-//! Request bodies: buffered whole, or streamed behind their first bytes. The rest of a streamed body is sent by at most
-//! one attempt.
+//! Request bodies. A short body is buffered whole; of a long one the first bytes are buffered and the rest is
+//! streamed. At most one attempt can send the streamed rest.
 
 use std::pin::Pin;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -19,25 +19,25 @@
 use crate::runtime::{Runtime, duration};
 use crate::sync::lock;
 
-/// Upper bound of what kernel buffers hold of one connection, in bytes.
+/// Upper bound on the bytes that kernel buffers hold for one connection.
 const MAX_IN_TRANSIT_BYTES: u64 = 4 << 20;
-/// How often it is looked whether the client of a body that is being sent may have given up.
+/// Interval at which a request is checked for its client's timeout while an attempt sends the body.
 const CLIENT_CHECK_INTERVAL: Ticks = Ticks(500);
-/// Part of [`STREAM_IDLE_TIMEOUT`], as its inverse, after which a body is checked for a stall.
+/// A streamed body is checked for a stall this many times per [`STREAM_IDLE_TIMEOUT`].
 const STALL_CHECK_DIVISOR: u32 = 10;
 
 /// The body of a request.
 #[derive(Clone)]
 pub enum RequestBody {
-    /// All of it.
+    /// The whole body.
     Buffered(Bytes),
-    /// Its first bytes, and the rest as it arrives.
+    /// The first bytes of the body, and the rest as it arrives.
     Streaming(Arc<StreamingBody>),
 }
 
 impl RequestBody {
-    /// Waits for the deadline of the request: `deadline` if the body is buffered or no attempt sends it, else `timeout`
-    /// after its last byte.
+    /// Waits for the deadline of the request: `deadline` if the body is buffered or no attempt sends it yet,
+    /// otherwise `timeout` after the last byte of the body.
     pub async fn wait_for_timeout<R: Runtime>(&self, runtime: &R, deadline: Timestamp, timeout: Ticks) {
         let RequestBody::Streaming(body) = self else { return runtime.sleep_until(deadline).await };
         loop {
@@ -47,12 +47,12 @@
                     return runtime.sleep_until(received_at + timeout).await;
                 }
                 SendProgress::Claimed => {
-                    let given_up_at = body.client_gives_up_at(timeout);
-                    if given_up_at.is_some_and(|at| at <= runtime.now()) {
+                    let client_timeout_at = body.client_timeout_at(timeout);
+                    if client_timeout_at.is_some_and(|at| at <= runtime.now()) {
                         return;
                     }
                     let next_check = runtime.now() + CLIENT_CHECK_INTERVAL;
-                    let next_check = next_check.min(given_up_at.unwrap_or(Timestamp(i64::MAX)));
+                    let next_check = next_check.min(client_timeout_at.unwrap_or(Timestamp(i64::MAX)));
                     tokio::select! {
                         biased;
                         () = body.wait_until_past(progress) => {}
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Calls `on_claimed` once an attempt sends bytes that no other can send any more, and `on_complete` once the last
-    /// byte has arrived. Never completes.
+    /// Calls `on_claimed` once an attempt starts to send a streamed body, which no other attempt can send
+    /// from then on, and `on_complete` once the last byte has arrived. Never completes.
     pub async fn watch_progress(&self, on_claimed: impl FnOnce(), on_complete: impl FnOnce()) {
         if let RequestBody::Streaming(body) = self {
             body.wait_until_past(SendProgress::Unclaimed).await;
@@ -80,12 +80,13 @@
         std::future::pending().await
     }
 
-    /// Whether the last byte was not given to any attempt, so that none can have been processed.
+    /// Returns whether the last byte has not been passed to any attempt, so that no endpoint can have
+    /// processed the request.
     pub fn is_incomplete(&self) -> bool {
         matches!(self, RequestBody::Streaming(body) if body.is_incomplete())
     }
 
-    /// Completes if the body is being sent and has made no progress for [`STREAM_IDLE_TIMEOUT`].
+    /// Completes if an attempt is sending the body and has made no progress for [`STREAM_IDLE_TIMEOUT`].
     pub async fn wait_for_stall<R: Runtime>(&self, runtime: &R) {
         let RequestBody::Streaming(body) = self else { return std::future::pending().await };
         while !body.is_stalled(runtime.now()) {
@@ -94,11 +95,12 @@
     }
 }
 
-/// Reads a body of at most `max_bytes`: whole if it is short, else its first bytes.
+/// Reads a body of at most `max_bytes`: the whole of a short body, the first bytes of a long one.
 ///
 /// # Errors
 ///
-/// If it is longer, or breaks off.
+/// Fails if the announced length or the bytes read so far exceed `max_bytes`, or if the connection breaks
+/// meanwhile.
 pub async fn read_request_body<R: Runtime>(
     mut body: Body,
     max_bytes: u64,
@@ -119,20 +121,21 @@
             Some(Ok(frame)) => buffer.extend(frame.into_data().ok()),
         }
     }
-    // Nothing more is read until an attempt sends the body, so a close of the client would not be seen.
+    // Nothing more is read until an attempt sends the body, so the read side would not show that the client
+    // has closed the connection.
     client.unread_input.notify_one();
     let body = StreamingBody::new(body, buffer.freeze(), size_hint.exact(), max_bytes, client.clone());
     Ok(RequestBody::Streaming(Arc::new(body)))
 }
 
-/// How far a streamed body has been sent.
+/// How much of a streamed body has been sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendProgress {
-    /// No attempt has begun to send it.
+    /// No attempt has started to send the body.
     Unclaimed,
-    /// One attempt sends it, and no other may.
+    /// One attempt sends the body, and no other attempt may.
     Claimed,
-    /// Its last byte arrived at that time, and is being sent.
+    /// The last byte of the body arrived at this time and is passed to the attempt.
     Complete(Timestamp),
 }
 
@@ -141,7 +144,7 @@
     announced_length: Option<u64>,
     max_bytes: u64,
     first_bytes: Bytes,
-    /// Reads the pace at which the client sends.
+    /// Returns the pace at which the client sends the body.
     receive_pace: Box<dyn Fn() -> ReceivePace + Send + Sync>,
     state: Mutex<StreamingBodyState>,
     changed: Notify,
@@ -150,12 +153,12 @@
 struct StreamingBodyState {
     rest: Body,
     progress: SendProgress,
-    /// Number of attempts so far, by which they are told apart.
+    /// Number of attempts so far; each attempt is identified by its number.
     attempts: u64,
     claimed_by: Option<u64>,
     sent_bytes: u64,
     last_progress_at: Timestamp,
-    /// Since when no more is left than kernel buffers may hold.
+    /// Time since which the unsent rest is small enough to be in kernel buffers.
     mostly_sent_since: Option<Timestamp>,
 }
 
@@ -201,11 +204,12 @@
         }
     }
 
-    /// Waits until the progress is another. `Notify` wakes waiters in the order in which they came, unlike a watch
-    /// channel, which keeps the simulation deterministic.
+    /// Waits until the progress differs from `progress`. Unlike a watch channel, `Notify` wakes waiters in
+    /// the order in which they registered, which keeps the simulation deterministic.
     async fn wait_until_past(&self, progress: SendProgress) {
         loop {
-            // Created before the progress is read: `notify_waiters` wakes existing waiters only.
+            // This is created before the progress is read because `notify_waiters` only wakes existing
+            // waiters.
             let changed = self.changed.notified();
             if self.progress() != progress {
                 return;
@@ -218,8 +222,9 @@
         !matches!(self.progress(), SendProgress::Complete(_))
     }
 
-    /// The earliest time at which the client can have sent the last byte: bytes that were not waited for may have been
-    /// in kernel buffers. The client's own timeout counts from then.
+    /// Returns the earliest time at which the client can have sent the last byte, from which the client's own
+    /// timeout runs. Bytes that were available without waiting may have been in kernel buffers before they
+    /// were read.
     fn last_byte_received_at(&self, state: &StreamingBodyState) -> Timestamp {
         let received_at = (self.receive_pace)().last_received_at;
         if self.announced_length.is_some_and(|length| length > MAX_IN_TRANSIT_BYTES) {
@@ -229,8 +234,8 @@
         }
     }
 
-    /// When the client gives up if it has sent everything; `None` if it can't have.
-    fn client_gives_up_at(&self, timeout: Ticks) -> Option<Timestamp> {
+    /// Returns when the client times out, assuming that it has sent the whole body; `None` if it can't have.
+    fn client_timeout_at(&self, timeout: Ticks) -> Option<Timestamp> {
         let state = self.state();
         let may_be_sent = !(self.receive_pace)().is_waiting && state.mostly_sent_since.is_some();
         may_be_sent.then(|| self.last_byte_received_at(&state) + timeout)
@@ -241,7 +246,7 @@
         state.progress == SendProgress::Claimed && now - state.last_progress_at >= STREAM_IDLE_TIMEOUT
     }
 
-    /// The next bytes for the attempt of that number; `None` at the end.
+    /// Returns the next bytes for the attempt with the given number; `None` at the end of the body.
     fn poll_data(
         &self,
         attempt: u64,
@@ -264,16 +269,17 @@
         if state.sent_bytes > self.max_bytes {
             return Poll::Ready(Err("the body is too large".into()));
         }
-        self.note_sent(&mut state, now, data.is_none());
+        self.record_sent(&mut state, now, data.is_none());
         Poll::Ready(Ok(data))
     }
 
-    fn note_sent(&self, state: &mut StreamingBodyState, now: Timestamp, is_end: bool) {
+    fn record_sent(&self, state: &mut StreamingBodyState, now: Timestamp, is_end: bool) {
         let in_transit_limit = state.sent_bytes + MAX_IN_TRANSIT_BYTES;
         if self.announced_length.is_none_or(|length| length <= in_transit_limit) {
             state.mostly_sent_since.get_or_insert(now);
         }
-        // Before the last bytes are passed on: from then on the request may be processed.
+        // The progress is updated before the last bytes are passed on, since the endpoint may process the
+        // request from then on.
         if is_end || Some(state.sent_bytes) == self.announced_length {
             let received_at = self.last_byte_received_at(state);
             self.advance(state, SendProgress::Complete(received_at));
@@ -281,7 +287,8 @@
     }
 }
 
-/// The next data frame. Trailers concern one connection only, and are dropped.
+/// Returns the next data frame, or `None` at the end of the body. Trailers apply to a single connection and
+/// are dropped.
 fn poll_rest(rest: &mut Body, cx: &mut Context) -> Poll<Result<Option<Bytes>, BoxError>> {
     loop {
         match ready!(Pin::new(&mut *rest).poll_frame(cx)) {
@@ -296,7 +303,7 @@
     }
 }
 
-/// The body as one attempt sends it.
+/// The body of a request as one attempt sends it.
 pub struct AttemptBody {
     body: RequestBody,
     attempt: u64,
@@ -304,7 +311,7 @@
 }
 
 impl AttemptBody {
-    /// The body for one more attempt, whether or not it is ever sent.
+    /// Creates the body for one more attempt, which may never send it.
     pub fn new(body: RequestBody) -> AttemptBody {
         let attempt = match &body {
             RequestBody::Buffered(_) => 0,
--- a/crates/balancer/src/http/request_fields.rs
+++ b/crates/balancer/src/http/request_fields.rs
@@ -1,4 +1,4 @@
-//! The `Req-*` header fields of a request, and what they mean to the dispatcher.
+//! Parses the `Req-*` header fields of a request into the request for the dispatcher.
 
 use std::collections::BTreeMap;
 
@@ -23,7 +23,7 @@
 const TICKS_PER_MS: i64 = 10;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Why a request is not submitted: a fault of the client, which is not told to retry.
+/// Why a request is not submitted. These are errors of the client, which is not asked to retry.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub(super) enum RequestError {
     #[error("no {0}")]
@@ -71,7 +71,7 @@
     }
 }
 
-/// The value of a field that may stand once; an empty one counts as missing.
+/// Returns the value of a field that may occur at most once. An empty value counts as missing.
 pub(super) fn header_text<'a>(
     headers: &'a HeaderMap,
     name: &HeaderName,
@@ -93,9 +93,10 @@
     ids.get(value).copied().ok_or_else(|| RequestError::Unknown(name.clone()))
 }
 
-/// Reads the fields of a request.
+/// Parses the fields of a request.
 pub(super) fn parse_request(config: &Config, headers: &HeaderMap) -> Result<NewRequest, RequestError> {
-    // Endpoints know a request by its id, and their rejection of one without it would count as a fault of theirs.
+    // Endpoints identify a request by its id. They would reject a request without one, and the rejection
+    // would count as an error of the endpoint.
     required_text(headers, &ID_HEADER)?;
     let class = ClassId(lookup(&config.classes, required_text(headers, &CLASS_HEADER)?, &CLASS_HEADER)?);
     let tenant = parse_tenant(config, headers)?;
@@ -114,7 +115,8 @@
     lookup(&config.tenants, name, &TENANT_HEADER).map(TenantId)
 }
 
-/// The timeout in milliseconds, at most the longest of any class; by default that of the request's class.
+/// Parses the timeout, given in milliseconds. It is limited to the longest timeout of any class, and defaults
+/// to that of the request's class.
 fn parse_timeout(config: &Config, headers: &HeaderMap, class: ClassId) -> Result<Ticks, RequestError> {
     let Some(milliseconds) = header_text(headers, &TIMEOUT_HEADER)? else {
         return Ok(config.settings.class(class).timeout);
@@ -125,7 +127,8 @@
     Ok(Ticks(i64::from(milliseconds) * TICKS_PER_MS).min(config.settings.max_timeout()))
 }
 
-/// The cost estimate in core seconds, from microseconds; none where it is missing or zero.
+/// Parses the cost estimate, given in microseconds, and returns it in core seconds; `None` if it is missing
+/// or zero.
 fn parse_cost(headers: &HeaderMap) -> Result<Option<f64>, RequestError> {
     let malformed = || RequestError::Malformed { header: COST_HEADER, expected: "microseconds" };
     let Some(microseconds) = header_text(headers, &COST_HEADER)? else { return Ok(None) };
--- a/crates/balancer/src/http/request_head.rs
+++ b/crates/balancer/src/http/request_head.rs
@@ -1,5 +1,5 @@
-//! The input of a client connection before the HTTP library reads it: a head is passed on only once it is whole and
-//! leaves no doubt about the length of its request.
+//! Validates the input of a client connection before the HTTP library reads it. A head is passed on only once
+//! it is complete and determines the length of its request unambiguously.
 
 use std::collections::VecDeque;
 use std::io::{self, IoSlice};
@@ -14,31 +14,32 @@
 use crate::http::framing::{RequestLength, parse_request_length};
 use crate::runtime::{Runtime, Stream};
 
-/// Longest request head, in bytes.
+/// Maximum length of a request head, in bytes.
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Bytes behind a request that are read before its response. Behind more, the system is asked whether the client has
-/// closed.
+/// Bytes after a request that are read before its response. If there are more, the operating system is asked
+/// whether the client has closed the connection.
 const MAX_PIPELINED_BYTES: usize = 2 * MAX_HEAD_BYTES;
-/// Reads whose arrival times are kept apart; later ones are dated like the last of them.
+/// Maximum number of reads whose arrival times are stored separately. Later reads share the arrival time of
+/// the last of them.
 const MAX_RECEIVE_TIMES: usize = 64;
 const READ_BUFFER_BYTES: usize = 4096;
 const PASSTHROUGH_BUFFER_BYTES: usize = 16 << 10;
 
-/// The stream of a client connection as the HTTP library reads and writes it.
+/// The stream of a client connection, as the HTTP library reads and writes it.
 pub struct HeadValidatingStream<R: Runtime> {
     stream: Arc<R::Stream>,
     client: Arc<ClientConnection<R>>,
-    /// Input that was not passed on yet: an incomplete head, or what follows a request.
+    /// Input that has not been passed on yet: an incomplete head, or bytes after a request.
     buffer: Vec<u8>,
     receive_times: VecDeque<ReceivedChunk>,
-    /// Bytes of the current request that are still to be passed on; a head comes next.
+    /// Bytes of the current request that have not been passed on yet. The next head follows them.
     remaining: usize,
 }
 
-/// Bytes of the buffer that were read at once.
+/// Bytes of the buffer that arrived in one read, or in several with the same arrival time.
 struct ReceivedChunk {
     bytes: usize,
-    /// The earliest time at which they can have arrived.
+    /// The earliest time at which the bytes can have arrived.
     arrived_at: Timestamp,
 }
 
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Reads more input into the buffer. Returns 0 at its end.
+    /// Reads more input into the buffer. Returns 0 at the end of the input.
     fn poll_fill(&mut self, cx: &mut Context) -> Poll<io::Result<usize>> {
         let mut bytes = [0; READ_BUFFER_BYTES];
         let read = ready!(self.stream.poll_recv(cx, &mut bytes))?;
@@ -68,8 +69,8 @@
         Poll::Ready(Ok(read))
     }
 
-    /// When so many bytes of the buffer had arrived.
-    fn received_by(&self, bytes: usize) -> Timestamp {
+    /// Returns the time by which the first `bytes` bytes of the buffer had arrived.
+    fn arrival_time(&self, bytes: usize) -> Timestamp {
         let mut sum = 0;
         let covers = |chunk: &&ReceivedChunk| {
             sum += chunk.bytes;
@@ -79,7 +80,8 @@
         chunk.map_or_else(|| self.client.earliest_arrival(), |chunk| chunk.arrived_at)
     }
 
-    /// Reads the rest of the current request past the empty buffer, and no more: a head follows.
+    /// Reads the rest of the current request directly into `into`, bypassing the empty buffer. Reads no
+    /// further, because a head follows.
     fn poll_passthrough(&mut self, cx: &mut Context, into: &mut ReadBufCursor) -> Poll<io::Result<usize>> {
         let mut bytes = [0; PASSTHROUGH_BUFFER_BYTES];
         let max_bytes = self.remaining.min(into.remaining()).min(bytes.len());
@@ -94,7 +96,7 @@
         self.buffer.drain(..copied);
         self.drop_receive_times(copied);
         if self.buffer.is_empty() {
-            // Most connections are idle most of the time, and need no memory then.
+            // This frees the memory of idle connections, which most connections are most of the time.
             self.buffer = Vec::new();
             self.receive_times = VecDeque::new();
         }
@@ -113,11 +115,12 @@
         }
     }
 
-    /// Reads until a head is whole, and expects its request. Returns false where no more is to be read: the input
-    /// ended, or the head is refused.
+    /// Reads until a head is complete, and prepares to pass on its request. Returns false if nothing more is
+    /// to be read, because the input ended or the head was rejected.
     fn poll_head(&mut self, cx: &mut Context) -> Poll<io::Result<bool>> {
         while self.remaining == 0 {
-            // To the HTTP library, input behind a request would hide that the client closes.
+            // Input after a request is not passed to the HTTP library yet: with it in its buffer, the library
+            // would not notice that the client closes the connection.
             if self.client.awaits_response() {
                 if self.buffer.len() >= MAX_PIPELINED_BYTES {
                     self.client.unread_input.notify_one();
@@ -153,7 +156,7 @@
             RequestLength::Known(bytes) => bytes,
             RequestLength::Chunked => usize::MAX,
         };
-        self.client.on_head(bytes, self.received_by(bytes));
+        self.client.on_head(bytes, self.arrival_time(bytes));
         self.client.expect_response(is_last);
         self.remaining = bytes;
     }
@@ -165,16 +168,16 @@
         if !ready!(this.poll_head(cx))? {
             return Poll::Ready(Ok(()));
         }
-        let passed = if !this.buffer.is_empty() {
+        let copied = if !this.buffer.is_empty() {
             this.copy_buffered(this.remaining, &mut into)
-        } else if let Poll::Ready(passed) = this.poll_passthrough(cx, &mut into) {
-            passed?
+        } else if let Poll::Ready(copied) = this.poll_passthrough(cx, &mut into) {
+            copied?
         } else {
             this.client.on_read_pending();
             return Poll::Pending;
         };
-        this.remaining -= passed;
-        this.client.on_bytes_read(passed);
+        this.remaining -= copied;
+        this.client.on_bytes_read(copied);
         Poll::Ready(Ok(()))
     }
 }
@@ -189,7 +192,7 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context) -> Poll<io::Result<()>> {
-        // Left to the task that serves the connection, which may have an error to tell first.
+        // The task that serves the connection shuts it down, since it may have to send an error first.
         Poll::Ready(Ok(()))
     }
 
--- a/crates/balancer/src/http/response_body.rs
+++ b/crates/balancer/src/http/response_body.rs
@@ -1,5 +1,5 @@
-//! Response bodies: buffered whole, or streamed to the client behind their first bytes. A response that breaks off is
-//! never passed on as if it were whole.
+//! Response bodies. A short body is buffered whole; of a long one the first bytes are buffered and the rest
+//! is streamed to the client. A truncated response is never passed on as if it were complete.
 
 use std::future::Future;
 use std::io;
@@ -21,30 +21,31 @@
 use crate::metrics::{InFlightGuard, RequestOutcome};
 use crate::runtime::{Runtime, duration};
 
-/// Extension of a response whose body is still being streamed when its head is sent.
+/// Extension that marks a response whose body is still being streamed when its head is sent.
 #[derive(Clone, Copy)]
 pub struct IsStreaming;
 
 /// The body of a response from an endpoint.
 #[derive(Debug)]
 pub enum ResponseBody {
-    /// All of it.
+    /// The whole body.
     Buffered(Bytes),
-    /// Its first bytes, and the rest as it arrives.
+    /// The first bytes of the body, and the rest as it arrives.
     Streaming {
-        /// What was buffered.
+        /// The buffered first bytes.
         first: Bytes,
-        /// What was not.
+        /// The part of the body that has not been read yet.
         rest: Incoming,
     },
 }
 
-/// Buffers a short body whole. A longer one, or one of unknown length that has not ended after `buffering_time`, is
-/// streamed.
+/// Buffers a short body whole. A longer body, or one of unknown length that has not ended after
+/// `buffering_time`, is streamed.
 ///
 /// # Errors
 ///
-/// If the body is longer than [`MAX_STREAMED_BYTES`], or breaks off.
+/// Fails if the announced length exceeds [`MAX_STREAMED_BYTES`], or if the connection breaks before the
+/// buffered part has arrived.
 pub async fn buffer_response<R: Runtime>(
     runtime: &R,
     mut body: Incoming,
@@ -78,8 +79,8 @@
     }
 }
 
-/// The response for the client. A streamed one counts its outcome itself, under the name of its class; a buffered one is
-/// counted by the caller.
+/// Converts an endpoint's response to the response for the client. A streamed response counts its own
+/// outcome, under the name of its class; the caller counts the outcome of a buffered response.
 pub fn client_response<R: Runtime>(
     runtime: &R,
     client: &Arc<ClientConnection<R>>,
@@ -105,7 +106,7 @@
     class: String,
 }
 
-/// A response body on its way to the client.
+/// A response body that is being forwarded to the client.
 struct ForwardedBody<R: Runtime> {
     runtime: R,
     client: Arc<ClientConnection<R>>,
@@ -114,7 +115,7 @@
     forwarded_bytes: u64,
     last_received_at: Timestamp,
     idle_timer: Pin<Box<dyn Future<Output = ()> + Send + Sync>>,
-    /// `None` once the outcome is counted.
+    /// The request whose outcome is to be counted; `None` once it is counted.
     request: Option<CountedRequest>,
 }
 
@@ -147,7 +148,8 @@
         }
     }
 
-    /// The next data frame, or `None` at the end. Trailers concern one connection only, and are dropped.
+    /// Returns the next data frame, or `None` at the end of the body. Trailers apply to a single connection
+    /// and are dropped.
     fn poll_rest(&mut self, cx: &mut Context) -> Poll<Result<Option<Bytes>, BoxError>> {
         loop {
             match Pin::new(&mut self.rest).poll_frame(cx) {
@@ -163,7 +165,7 @@
         }
     }
 
-    /// Fails once nothing has arrived for [`STREAM_IDLE_TIMEOUT`].
+    /// Completes with an error once nothing has arrived for [`STREAM_IDLE_TIMEOUT`].
     fn poll_idle_timer(&mut self, cx: &mut Context) -> Poll<BoxError> {
         loop {
             ready!(self.idle_timer.as_mut().poll(cx));
@@ -218,8 +220,8 @@
 
 impl<R: Runtime> Drop for ForwardedBody<R> {
     fn drop(&mut self) {
-        // The HTTP library asks for nothing more once all of a known length has arrived. Otherwise the client has gone,
-        // and what it received is unknown.
+        // The HTTP library stops polling once all bytes of a known length have arrived. Otherwise the client
+        // has gone, and how much it received is unknown.
         if self.size_hint().exact() == Some(0) {
             self.count_outcome(RequestOutcome::Succeeded);
         }
--- a/crates/balancer/src/http/responses.rs
+++ b/crates/balancer/src/http/responses.rs
@@ -1,10 +1,10 @@
-//! Responses that the proxy gives on its own.
+//! Responses that the proxy generates itself.
 
 use axum::http::{HeaderValue, StatusCode, header};
 use axum::response::{IntoResponse, Response};
 use doorproxy::ids::Ticks;
 
-/// The response to a rejected request: 503, with `Retry-After` in seconds where one is given.
+/// Returns the response to a rejected request: 503, with `Retry-After` in seconds if `retry_after` is given.
 pub fn rejected_response(retry_after: Option<Ticks>) -> Response {
     let mut response = (StatusCode::SERVICE_UNAVAILABLE, "not now\n").into_response();
     let seconds = retry_after.map(|wait| format!("{:.3}", wait.as_secs_f64()));
@@ -14,7 +14,7 @@
     response
 }
 
-/// The response to a request whose outcome is unknown: 502.
+/// Returns the response to a failed request, whose outcome is unknown: 502.
 pub fn failed_response() -> Response {
     (StatusCode::BAD_GATEWAY, "no answer, and it may have run\n").into_response()
 }
--- a/crates/balancer/src/http/serve_connection.rs
+++ b/crates/balancer/src/http/serve_connection.rs
@@ -1,4 +1,4 @@
-//! One client connection from accept to close.
+//! Serves one client connection from accept to close.
 
 use std::future::poll_fn;
 use std::pin::Pin;
@@ -22,13 +22,14 @@
 use crate::http::response_body::IsStreaming;
 use crate::runtime::{Runtime, Stream, duration};
 
-/// How long a connection that is to close may take to flush its last response.
+/// Maximum time that a closing connection may take to flush its last response.
 const LINGER_TIME: Ticks = Ticks(1000);
-/// The same where the client is still sending a large request, whose response it reads only then.
-const EARLY_ANSWER_LINGER_TIME: Ticks = Ticks(30_000);
-/// How often it is looked whether a client has closed behind bytes that nobody reads.
+/// The same limit if the client is still sending a large request: it reads the response only after that.
+const EARLY_RESPONSE_LINGER_TIME: Ticks = Ticks(30_000);
+/// Interval at which connections with unread bytes are checked for a close by the client.
 const CLIENT_CHECK_INTERVAL: Ticks = Ticks(300);
-/// Bytes that are read and discarded before the close: unread bytes would make it a reset, which may lose the response.
+/// Maximum number of bytes that are read and discarded before the close. Unread bytes would turn the close
+/// into a reset, which may lose the response.
 const MAX_DISCARDED_BYTES: usize = 256 << 10;
 const DISCARD_BUFFER_BYTES: usize = 4096;
 
@@ -56,19 +57,19 @@
     close_connection(runtime, &*stream, client).await;
 }
 
-/// Updates the state of the connection, and tells the client if it closes after the response.
+/// Updates the state of the connection, and adds `Connection: close` if it closes after the response.
 fn finish_response<R: Runtime>(client: &ClientConnection<R>, mut response: Response) -> Response {
     if response.extensions().get::<IsStreaming>().is_none() {
         client.on_response_finished();
     }
-    if client.is_last_request() || client.is_answered_early() {
+    if client.is_last_request() || client.has_early_response() {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     response
 }
 
-/// Runs the HTTP library on the connection until it ends, or has to: how it ends is the client's affair, for its
-/// requests have been dealt with.
+/// Runs the HTTP library on the connection until the connection ends or has to be closed. The library's
+/// result is ignored: all requests have been handled by then, so an error concerns the client alone.
 async fn drive<R: Runtime, S>(
     runtime: &R,
     mut connection: Pin<&mut http1::Connection<HeadValidatingStream<R>, S>>,
@@ -78,14 +79,14 @@
     S: HttpService<Incoming, ResBody = Body>,
     S::Error: Into<BoxError>,
 {
-    let unseen_close = wait_for_unseen_close(runtime, stream, client);
-    tokio::pin!(unseen_close);
+    let hidden_close = wait_for_hidden_close(runtime, stream, client);
+    tokio::pin!(hidden_close);
     loop {
         let deadline = client.deadline();
         tokio::select! {
             biased;
             _ = connection.as_mut() => return,
-            () = unseen_close.as_mut() => return,
+            () = hidden_close.as_mut() => return,
             () = client.close_requested.notified() => {
                 if is_request_arriving(client, stream) {
                     continue;
@@ -107,15 +108,15 @@
             _ = connection.as_mut() => return,
             () = runtime.sleep(duration(LINGER_TIME)) => {}
         }
-        // The client reads nothing, or never sends what it opened the connection for.
+        // The client does not read its response, or has not sent a request.
         if !is_request_arriving(client, stream) && !client.state().has_request() {
             return;
         }
     }
 }
 
-/// Whether a request has arrived, or is arriving, on a connection that is to close. The system is asked, since what the
-/// runtime knows is older.
+/// Returns whether a request has arrived or is arriving on a connection that is to close. This asks the
+/// operating system, since the runtime's view is older.
 fn is_request_arriving<R: Runtime>(client: &ClientConnection<R>, stream: &R::Stream) -> bool {
     match client.state() {
         ConnectionState::New(_) | ConnectionState::Idle(_) | ConnectionState::Closing => !stream.is_idle(),
@@ -126,9 +127,9 @@
     }
 }
 
-/// Completes once the client has closed behind bytes that nobody reads while its request is in flight, so that no
-/// attempts go on for nobody.
-async fn wait_for_unseen_close<R: Runtime>(runtime: &R, stream: &R::Stream, client: &ClientConnection<R>) {
+/// Completes once the client has closed the connection while its request is in flight and unread bytes hide
+/// the close. Without this check, attempts would continue for a client that has gone.
+async fn wait_for_hidden_close<R: Runtime>(runtime: &R, stream: &R::Stream, client: &ClientConnection<R>) {
     loop {
         client.unread_input.notified().await;
         while client.awaits_response() {
@@ -140,15 +141,16 @@
     }
 }
 
-/// Tells the client of its error, if any, and closes the connection without resetting it.
+/// Sends the client its error, if any, and closes the connection without a reset.
 async fn close_connection<R: Runtime>(runtime: &R, stream: &R::Stream, client: &ClientConnection<R>) {
     if let Some(error) = client.take_client_error() {
-        // Nothing else was written for a while: what does not fit would not be read either.
+        // Nothing else was written for a while. If the send buffer is full, the client does not read anyway,
+        // so a partial write is ignored.
         let _ = stream.try_send(error_response(error).as_bytes());
     }
     stream.shutdown_write();
-    let (max_bytes, linger) = if client.is_answered_early() {
-        (MAX_STREAMED_BYTES as usize, EARLY_ANSWER_LINGER_TIME)
+    let (max_bytes, linger) = if client.has_early_response() {
+        (MAX_STREAMED_BYTES as usize, EARLY_RESPONSE_LINGER_TIME)
     } else {
         (MAX_DISCARDED_BYTES, LINGER_TIME)
     };
@@ -162,7 +164,7 @@
     format!("HTTP/1.1 {status}\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{body}")
 }
 
-/// Reads until the other side closes, or `max_bytes` were read.
+/// Reads and discards input until the client closes the connection or `max_bytes` have been read.
 async fn discard_input<S: Stream>(stream: &S, max_bytes: usize) {
     let mut buffer = [0; DISCARD_BUFFER_BYTES];
     let mut discarded = 0;
--- a/crates/balancer/src/http/server.rs
+++ b/crates/balancer/src/http/server.rs
@@ -1,4 +1,4 @@
-//! The server for clients: accepts connections, gives each request one response, and shuts down in order.
+//! The server for clients: accepts connections, gives each request one response, and drains on shutdown.
 
 use std::future::Future;
 use std::io;
@@ -30,29 +30,29 @@
 pub use crate::http::SEND_BUFFER_BYTES;
 
 const READY_PATH: &str = "/-/ready";
-/// Minimum time in which existing connections are served after a shutdown request, for load balancers in front to
-/// notice it.
+/// Minimum time for which clients are still accepted and served after a shutdown request, so that load
+/// balancers in front have time to notice it.
 const MIN_SERVING_TIME: Ticks = Ticks(5_000);
-/// How often sibling processes and the progress of a shutdown are looked at.
+/// Interval at which the sibling processes and the progress of a shutdown are checked.
 const LIFECYCLE_CHECK_INTERVAL: Ticks = Ticks(500);
 
-/// Why a balancer could not serve.
+/// An error that keeps a balancer from serving.
 #[derive(Debug, Error)]
 pub enum ServeError {
-    /// The clients' address could not be listened on.
+    /// Listening on the address for clients failed.
     #[error("{address}: {source}")]
     Listen {
         /// The configured address.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The sibling processes could not be told.
+    /// Announcing this process to its sibling processes failed.
     #[error("to tell others that this process serves: {0}")]
     Announce(#[source] io::Error),
 }
 
-/// The server of one process.
+/// The server for clients of one process.
 pub struct Server<R: Runtime> {
     pub(super) runtime: R,
     pub(super) config: Arc<Config>,
@@ -77,7 +77,8 @@
 }
 
 impl<R: Runtime> Server<R> {
-    /// A server that does not listen yet. After a shutdown request it answers what it has within `grace_period`.
+    /// Creates a server that does not listen yet. After a shutdown request it finishes the requests in flight
+    /// within `grace_period`.
     pub fn new(
         runtime: R,
         config: Arc<Config>,
@@ -95,8 +96,9 @@
         })
     }
 
-    /// Leaves a snapshot of the learned state to a successor that starts, and makes room for one that serves.
-    fn follow_siblings(&self, siblings: &dyn Siblings) {
+    /// Saves the learned state for a successor that is starting, hands over to a successor that serves, and
+    /// shares the sockets with sibling processes.
+    fn update_from_siblings(&self, siblings: &dyn Siblings) {
         let status = siblings.status();
         if status.has_starting_successor {
             self.save_snapshot(siblings);
@@ -129,8 +131,8 @@
         log_line!(self.runtime, "successor process {change}");
     }
 
-    /// Continues from the learned state that the predecessor left, if it is recent and of the same settings. Returns
-    /// whether it did.
+    /// Restores the learned state that the predecessor saved if it is recent and was saved with the same
+    /// settings. Returns whether it was restored.
     fn restore_snapshot(&self, text: &str) -> bool {
         let now = self.runtime.now();
         let learned_state = snapshot::decode(text, self.config.settings_hash, now);
@@ -141,11 +143,12 @@
     }
 }
 
-/// Serves until shutdown was requested or a successor serves, and returns once all requests are answered.
+/// Serves until shutdown is requested or a successor serves, and returns once the requests in flight are
+/// finished or the grace period has ended.
 ///
 /// # Errors
 ///
-/// If the address can't be listened on, or the sibling processes can't be told.
+/// Fails if the server can't listen on its address, or can't announce itself to the sibling processes.
 pub async fn serve<R: Runtime>(
     server: Arc<Server<R>>,
     inherited: Option<InheritedListener<R>>,
@@ -190,8 +193,9 @@
     Ok((listener, None))
 }
 
-/// Waits, while the predecessor serves, for the endpoint list, which binds this process as well; no longer than an
-/// update may take to bind. Breaks if shutdown is requested first.
+/// Waits for the endpoint list while the predecessor still serves. An update of the list binds this process
+/// too, so the wait is limited to the time within which an update has to take effect. Breaks if shutdown is
+/// requested first.
 async fn wait_for_discovery<R: Runtime>(
     server: &Server<R>,
     shutdown: Pin<&mut impl Future<Output = ()>>,
@@ -207,8 +211,9 @@
     }
 }
 
-/// Restores the predecessor's learned state, and takes over the warming endpoints from it: at once if the state says
-/// what the predecessor sent to them, else after the time in which that still counts.
+/// Restores the predecessor's learned state and takes over its warming-up endpoints. If the state could be
+/// restored, it says how much the predecessor sent to them, and they are taken over at once; otherwise they
+/// are taken over once those requests are outside the overload window.
 fn take_over<R: Runtime>(server: &Arc<Server<R>>, siblings: Option<&dyn Siblings>) {
     let snapshot = siblings.and_then(|siblings| siblings.load_snapshot());
     let is_restored = snapshot.is_some_and(|snapshot| server.restore_snapshot(&snapshot));
@@ -230,9 +235,9 @@
     if let Some(siblings) = siblings {
         siblings.announce_serving().map_err(ServeError::Announce)?;
     }
-    // Before the log line: its readers may ask for the readiness at once.
+    // This precedes the log line because its readers may query the readiness at once.
     server.components.readiness.set_ready(true);
-    // The system has chosen the port if the configured one is 0.
+    // If the configured port is 0, the operating system has chosen one.
     let address = listener.local_addr().unwrap_or(server.config.listen_address);
     log_line!(server.runtime, "serving on {address}");
     Ok(())
@@ -254,7 +259,7 @@
             () = &mut shutdown, if !server.lifecycle.is_draining() => next_check = on_shutdown(server),
             () = runtime.sleep_until(next_check) => {
                 next_check = runtime.now() + LIFECYCLE_CHECK_INTERVAL;
-                if check(server, router, &listener, siblings).is_break() {
+                if check_lifecycle(server, router, &listener, siblings).is_break() {
                     break;
                 }
             }
@@ -267,7 +272,7 @@
     log_line!(*runtime, "stopped with {} connections open", connections.count());
 }
 
-/// Returns the time of the next check: now.
+/// Starts the shutdown and returns the time of the next check, which is now.
 fn on_shutdown<R: Runtime>(server: &Server<R>) -> Timestamp {
     server.components.readiness.set_ready(false);
     server.lifecycle.on_shutdown_requested(server.runtime.now());
@@ -276,15 +281,15 @@
     server.runtime.now()
 }
 
-/// Follows the sibling processes and the progress of a shutdown. Breaks once the process may end.
-fn check<R: Runtime>(
+/// Checks the sibling processes and the progress of a shutdown. Breaks once the process may end.
+fn check_lifecycle<R: Runtime>(
     server: &Server<R>,
     router: &Router,
     listener: &R::Listener,
     siblings: Option<&dyn Siblings>,
 ) -> ControlFlow<()> {
     if let Some(siblings) = siblings {
-        server.follow_siblings(siblings);
+        server.update_from_siblings(siblings);
     }
     let now = server.runtime.now();
     if !server.lifecycle.is_closing_idle(now) {
@@ -297,7 +302,8 @@
     if server.connections.count() > 0 {
         return ControlFlow::Continue(());
     }
-    // The system resets connections in the backlog when the listener is closed.
+    // Connections left in the backlog are accepted here because the kernel resets them when the listener
+    // closes.
     if !server.lifecycle.has_successor()
         && let Some(stream) = listener.try_accept()
     {
