--- a/crates/balancer/src/upstream.rs
+++ b/crates/balancer/src/upstream.rs
@@ -1,5 +1,5 @@
-//! The client of the endpoints: makes the attempts that the dispatcher decides on, on a pool of connections for each
-//! endpoint. It does not retry, and does not choose endpoints.
+//! The client that connects to endpoints. It makes the attempts that the dispatcher decides on, with a
+//! connection pool for each endpoint. It does not retry or choose endpoints.
 
 pub mod attempt_result;
 mod connection;
@@ -32,15 +32,15 @@
 pub use attempt_result::AttemptResult;
 pub use outgoing::{OutgoingRequest, TIMEOUT_HEADER};
 
-/// With fewer free sockets than these, idle connections are closed.
+/// Idle connections are closed while fewer sockets than this are free.
 const MIN_FREE_SOCKETS: usize = 8;
-/// Part of an endpoint's keep-alive time after which an idle connection is closed here, so that no request is written
-/// to a connection that the endpoint closes at the same time.
+/// Fraction of an endpoint's keep-alive time after which this side closes an idle connection, so that no
+/// request is written to a connection while the endpoint closes it.
 const IDLE_TIMEOUT_RATIO: f64 = 0.5;
-/// A response is stalled after this multiple of the connect timeout without progress.
+/// A response counts as stalled after this multiple of the connect timeout without progress.
 const RESPONSE_STALL_FACTOR: f64 = 2.0;
 
-/// How many of a process's sockets are for connections to endpoints.
+/// Returns how many of the process's `max_sockets` sockets are for connections to endpoints.
 pub fn max_upstream_sockets(max_sockets: usize) -> usize {
     max_sockets * 5 / 16
 }
@@ -48,11 +48,11 @@
 /// Timeouts of connections to endpoints.
 #[derive(Clone, Copy)]
 pub struct UpstreamTimeouts {
-    /// Time for a connection to be established.
+    /// Time within which a connection has to be established.
     pub connect: Ticks,
     /// Time after which endpoints close an idle connection.
     pub keepalive: Ticks,
-    /// How long a response of unknown length is buffered.
+    /// Maximum time for which a response of unknown length is buffered.
     pub response_buffering: Ticks,
 }
 
@@ -62,7 +62,7 @@
     is_success: fn(StatusCode) -> bool,
     timeouts: UpstreamTimeouts,
     socket_permits: Arc<Semaphore>,
-    /// Sockets that a sibling process uses for now.
+    /// Number of sockets that are lent to a sibling process.
     lent_sockets: Mutex<usize>,
     metrics: Arc<Metrics>,
     endpoints: Mutex<BTreeMap<EndpointId, EndpointConnections<R>>>,
@@ -71,7 +71,7 @@
 struct EndpointConnections<R: Runtime> {
     address: SocketAddr,
     pool: Arc<ConnectionPool<R>>,
-    /// Attempts that were decided on before this became false are not begun.
+    /// Whether attempts may be sent. An attempt that was decided on before this became false is not sent.
     accepts_attempts: Arc<AtomicBool>,
     last_response_at: Option<Timestamp>,
 }
@@ -83,20 +83,21 @@
 }
 
 impl<R: Runtime> Drop for EndpointConnections<R> {
-    /// The endpoint was removed, or another process took its place at another address.
+    /// Prevents the remaining attempts: the endpoint was removed, or a process at another address replaced
+    /// it.
     fn drop(&mut self) {
         self.accepts_attempts.store(false, Ordering::Relaxed);
     }
 }
 
-/// What an attempt uses of its endpoint, which may be removed meanwhile.
+/// The state of an endpoint that an attempt needs, even if the endpoint is removed during the attempt.
 struct AttemptTarget<R: Runtime> {
     address: SocketAddr,
     pool: Arc<ConnectionPool<R>>,
     accepts_attempts: Arc<AtomicBool>,
 }
 
-/// Closes idle connections and writes log lines for the dispatcher.
+/// Implements the dispatcher's background effects: closing idle connections and writing log lines.
 pub struct UpstreamEffects<R: Runtime>(pub Arc<UpstreamClient<R>>);
 
 impl<R: Runtime> BackgroundEffects for UpstreamEffects<R> {
@@ -110,7 +111,8 @@
 }
 
 impl<R: Runtime> UpstreamClient<R> {
-    /// A client without endpoints. Responses whose status is not `is_success` count as failures of the endpoint.
+    /// Creates a client without endpoints. A response whose status does not satisfy `is_success` counts as a
+    /// failure of the endpoint.
     pub fn new(
         runtime: R,
         timeouts: UpstreamTimeouts,
@@ -144,7 +146,7 @@
         })
     }
 
-    /// Leaves `wanted` sockets to a sibling process, as far as they are free: the rest is lent by later calls.
+    /// Lends `wanted` sockets to a sibling process. Only free sockets are lent; later calls lend the rest.
     pub fn lend_sockets(&self, wanted: usize) {
         let mut lent = lock(&self.lent_sockets);
         if *lent > wanted {
@@ -155,7 +157,7 @@
         }
     }
 
-    /// Closes the idle connections to an endpoint. Attempts keep theirs.
+    /// Closes the idle connections to an endpoint. Connections that attempts are using stay open.
     pub fn close_idle_connections(&self, endpoint: EndpointId) {
         if let Some(connections) = self.endpoints().get_mut(&endpoint) {
             self.replace_pool(connections);
@@ -166,7 +168,8 @@
         connections.pool = self.new_pool(connections.address);
     }
 
-    /// Takes over the addresses and statuses of endpoints. A complete snapshot removes those that are not in it.
+    /// Applies the addresses and statuses of endpoints. A complete snapshot removes the endpoints that are
+    /// not in it.
     pub fn apply_endpoints(&self, updates: &[EndpointUpdate], addresses: &[SocketAddr], is_snapshot: bool) {
         let mut endpoints = self.endpoints();
         if is_snapshot {
@@ -192,7 +195,7 @@
         }
     }
 
-    /// Takes over the statuses of known endpoints.
+    /// Applies the statuses of known endpoints.
     pub fn apply_updates(&self, updates: &[EndpointUpdate]) {
         set_statuses(&self.endpoints(), updates);
     }
@@ -207,14 +210,15 @@
         })
     }
 
-    /// Closes all idle connections if few sockets are free.
+    /// Closes all idle connections if fewer than [`MIN_FREE_SOCKETS`] sockets are free.
     fn free_sockets(&self) {
         if self.socket_permits.available_permits() < MIN_FREE_SOCKETS {
             self.endpoints().values_mut().for_each(|connections| self.replace_pool(connections));
         }
     }
 
-    /// Makes one attempt, until its result, the request's deadline, or its cancellation by the dispatcher.
+    /// Makes one attempt. It ends with a result, at the request's deadline, or when the dispatcher cancels
+    /// it.
     ///
     /// Dropping the future closes the connection.
     pub async fn send_attempt(
@@ -246,13 +250,16 @@
         let result = tokio::select! {
             biased;
             () = dispatcher.cancelled(attempt) => AttemptResult::Cancelled,
-            // Before the exchange: after a stall of this process, both may be ready.
-            () = outgoing.body.wait_for_timeout(&self.runtime, outgoing.deadline, outgoing.timeout) => AttemptResult::TimedOut,
+            // The timeout is polled before the exchange, since both may be ready after a stall of this
+            // process.
+            () = outgoing.body.wait_for_timeout(&self.runtime, outgoing.deadline, outgoing.timeout) => {
+                AttemptResult::TimedOut
+            }
             result = self.exchange(&target, outgoing, may_begin) => result,
             () = outgoing.body.wait_for_stall(&self.runtime) => AttemptResult::ConnectionReset,
         };
         let result = refine_result(result, has_begun.load(Ordering::Relaxed), outgoing);
-        self.note_result(attempt.endpoint, started_at, &result);
+        self.record_result(attempt.endpoint, started_at, &result);
         result
     }
 
@@ -263,7 +270,7 @@
         may_begin: impl Fn() -> bool + Send + 'static,
     ) -> AttemptResult {
         let Some(mut connection) = target.pool.acquire().await else { return AttemptResult::ConnectFailed };
-        // Computed only now: establishing the connection took part of the time.
+        // This is computed only now because establishing the connection took part of the time.
         let remaining = outgoing.remaining(self.runtime.now());
         let exchange_state = connection.exchange_state();
         let exchange = async {
@@ -290,7 +297,7 @@
         }
     }
 
-    /// The load report of an endpoint, if it is received within the connect timeout.
+    /// Fetches the load report of an endpoint; `None` if it is not received within the connect timeout.
     pub async fn fetch_load_report(&self, endpoint: EndpointId) -> Option<Bytes> {
         let AttemptTarget { address, pool, .. } = self.attempt_target(endpoint)?;
         let request = outgoing::load_probe_request(address);
@@ -304,10 +311,11 @@
         self.runtime.timeout(duration(self.timeouts.connect), call).await.flatten()
     }
 
-    /// Closes the idle connections of an endpoint from which nothing was received for the connect timeout: the machine
-    /// may be gone, and requests written to them would have an unknown outcome. New connections cost an endpoint work,
-    /// so they are kept while it answers other requests.
-    fn note_result(&self, endpoint: EndpointId, started_at: Timestamp, result: &AttemptResult) {
+    /// Records the result of an attempt. After a failure, this closes the idle connections to an endpoint
+    /// from which nothing was received for the connect timeout: the machine may be gone, and requests written
+    /// to those connections would have an unknown outcome. While the endpoint responds to other requests, the
+    /// connections are kept, because opening new ones costs it work.
+    fn record_result(&self, endpoint: EndpointId, started_at: Timestamp, result: &AttemptResult) {
         let mut endpoints = self.endpoints();
         let Some(connections) = endpoints.get_mut(&endpoint) else { return };
         let now = self.runtime.now();
@@ -317,7 +325,7 @@
         match result {
             AttemptResult::Succeeded(_)
             | AttemptResult::Overloaded
-            | AttemptResult::ErrorAnswer
+            | AttemptResult::ErrorResponse
             | AttemptResult::ResponseTooLarge => connections.last_response_at = Some(now),
             AttemptResult::ConnectFailed
             | AttemptResult::ClosedBeforeSent
@@ -326,7 +334,7 @@
             {
                 self.replace_pool(connections);
             }
-            // A client that leaves after a moment says nothing of the endpoint.
+            // If a client leaves shortly after the start, the cancellation says nothing about the endpoint.
             AttemptResult::TimedOut | AttemptResult::Cancelled
                 if is_unresponsive && is_long_ago(started_at) =>
             {
@@ -348,7 +356,7 @@
     }
 }
 
-/// States that nothing was sent, or not the last byte, where that is certain.
+/// Refines the result if it is certain that nothing, or not the last byte, of the request was sent.
 fn refine_result(result: AttemptResult, has_begun: bool, outgoing: &OutgoingRequest) -> AttemptResult {
     match result {
         AttemptResult::Cancelled | AttemptResult::TimedOut if !has_begun => AttemptResult::NotSent,
--- a/crates/balancer/src/upstream/attempt_result.rs
+++ b/crates/balancer/src/upstream/attempt_result.rs
@@ -1,38 +1,39 @@
-//! How an attempt ended, and what that means to the dispatcher.
+//! The results of attempts, and the outcomes that the dispatcher derives from them.
 
 use axum::response::Response;
 use doorproxy::effects::AttemptOutcome;
 
 use crate::http::response_body::ResponseBody;
 
-/// How an attempt ended. A result says that the request was not processed only where that is certain.
+/// The result of an attempt. A result states that the request was not processed only if that is certain.
 #[derive(Debug)]
 pub enum AttemptResult {
-    /// A successful response, whole or with its first bytes.
+    /// A successful response, buffered whole or with its first bytes.
     Succeeded(Response<ResponseBody>),
-    /// The endpoint rejected the request and states that it did not begin it.
+    /// The endpoint rejected the request and declared that it did not start to process it.
     Overloaded,
-    /// Any other response, a rejection without that statement among them.
-    ErrorAnswer,
-    /// A successful response whose body is longer than any that is forwarded.
+    /// Any other response, including a rejection without that declaration.
+    ErrorResponse,
+    /// A successful response whose body exceeds the limit for forwarding.
     ResponseTooLarge,
-    /// The connection was refused, timed out, or ended before anything was sent on it; or there was no socket for it.
+    /// The connection was refused, timed out, or ended before anything was sent on it; or no socket was free.
     ConnectFailed,
-    /// A connection that had served other requests ended before the last byte was written, or that byte never arrived from
-    /// the client, or another attempt sends it. Says nothing of the endpoint, which closes idle connections.
+    /// The last byte of the request was certainly not sent: a connection that had served other requests ended
+    /// before, or the byte never arrived from the client, or another attempt sends the body. This says
+    /// nothing about the health of the endpoint, which closes idle connections.
     ClosedBeforeSent,
-    /// The connection broke or ended later than that, or at an unknown time.
+    /// The connection broke or ended after the last byte was sent, or at an unknown time.
     ConnectionReset,
-    /// No response before the deadline of the request.
+    /// No response was received before the deadline of the request.
     TimedOut,
     /// The dispatcher cancelled the attempt.
     Cancelled,
-    /// Cancelled or timed out before anything was sent.
+    /// The attempt was cancelled or timed out before anything was sent.
     NotSent,
 }
 
 impl AttemptResult {
-    /// The names of all results, as they are printed.
+    /// The printed names of all results.
     pub const NAMES: [&str; 10] = [
         "answered",
         "declined",
@@ -46,12 +47,12 @@
         "never sent",
     ];
 
-    /// The printed name, one of [`AttemptResult::NAMES`].
+    /// Returns the printed name, one of [`AttemptResult::NAMES`].
     pub fn name(&self) -> &'static str {
         let index = match self {
             AttemptResult::Succeeded(_) => 0,
             AttemptResult::Overloaded => 1,
-            AttemptResult::ErrorAnswer => 2,
+            AttemptResult::ErrorResponse => 2,
             AttemptResult::ResponseTooLarge => 3,
             AttemptResult::ConnectFailed => 4,
             AttemptResult::ClosedBeforeSent => 5,
@@ -63,12 +64,12 @@
         AttemptResult::NAMES[index]
     }
 
-    /// What the dispatcher is told.
+    /// Returns the attempt outcome that is reported to the dispatcher.
     pub fn outcome(&self) -> AttemptOutcome {
         match self {
             AttemptResult::Succeeded(_) => AttemptOutcome::Succeeded,
             AttemptResult::Overloaded => AttemptOutcome::Overloaded,
-            AttemptResult::ErrorAnswer | AttemptResult::ResponseTooLarge => AttemptOutcome::ErrorAnswer,
+            AttemptResult::ErrorResponse | AttemptResult::ResponseTooLarge => AttemptOutcome::ErrorAnswer,
             AttemptResult::ConnectFailed => AttemptOutcome::ConnectFailed,
             AttemptResult::ConnectionReset => AttemptOutcome::ConnectionReset,
             AttemptResult::TimedOut => AttemptOutcome::TimedOut,
--- a/crates/balancer/src/upstream/connection.rs
+++ b/crates/balancer/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an endpoint, which carries one request at a time.
+//! A connection to an endpoint, which carries one request at a time.
 
 use std::io;
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
     pub connect_timeout: Ticks,
     /// Time after which an idle connection is closed.
     pub idle_timeout: Ticks,
-    /// Sockets of all endpoints together.
+    /// Permits for sockets, shared by all endpoints.
     pub socket_permits: Arc<Semaphore>,
     pub metrics: Arc<Metrics>,
 }
@@ -53,29 +53,29 @@
     }
 }
 
-/// Why an exchange has no response.
+/// An error that leaves an exchange without a response.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub(super) enum ExchangeError {
     /// The request was no longer wanted when its first byte was about to be written.
     #[error("the request is no longer wanted")]
     Withheld,
-    /// The request was not written whole: the connection had ended, or a write failed.
+    /// The request was not written completely: the connection had ended, or a write failed.
     #[error("the request was not sent")]
     NotSent,
-    /// The connection broke at some later time, or at an unknown one.
+    /// The connection broke after the request was written, or at an unknown time.
     #[error("the connection broke")]
     ConnectionBroken,
 }
 
-/// An open connection.
+/// An open connection to an endpoint.
 pub(super) struct UpstreamConnection {
     sender: SendRequest<AttemptBody>,
     exchange_state: Arc<ExchangeState>,
 }
 
 impl UpstreamConnection {
-    /// Sends a request and waits for the head of its response. `is_wanted` is asked as the first byte is about to be
-    /// written.
+    /// Sends a request and waits for the head of its response. `is_wanted` is called just before the first
+    /// byte is written; if it returns false, nothing is written.
     pub(super) async fn exchange(
         &mut self,
         request: Request<AttemptBody>,
@@ -99,12 +99,12 @@
         self.exchange_state.clone()
     }
 
-    /// Whether the connection can take a request now.
+    /// Returns whether the connection can take a request now.
     pub(super) fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Waits until the connection can take another request. False if it ends first.
+    /// Waits until the connection can take another request. Returns false if the connection ends first.
     pub(super) async fn wait_until_ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
--- a/crates/balancer/src/upstream/load_probes.rs
+++ b/crates/balancer/src/upstream/load_probes.rs
@@ -1,4 +1,4 @@
-//! Load probes: carries out those that the dispatcher asks for, beside the requests.
+//! Makes the load probes that the dispatcher asks for, independently of the requests.
 
 use std::sync::Arc;
 
@@ -10,12 +10,12 @@
 use crate::runtime::Runtime;
 use crate::upstream::UpstreamClient;
 
-/// Path of an endpoint's load report.
+/// Path of the load report on an endpoint.
 pub const LOAD_REPORT_PATH: &str = "/-/load";
-/// Name of the load where a report is an object.
+/// Name of the load field in a report that is a JSON object.
 const LOAD_FIELD: &str = "active";
 
-/// Makes load probes forever. The dispatcher wants none if the settings have no load reports.
+/// Makes load probes; never completes. If the settings do not use load reports, the dispatcher asks for none.
 pub async fn run<R: Runtime>(
     runtime: R,
     dispatcher: Dispatcher,
@@ -30,7 +30,7 @@
     }
 }
 
-/// Fetches one load report and passes its result to the dispatcher.
+/// Fetches one load report and reports the load to the dispatcher.
 async fn probe<R: Runtime>(
     runtime: R,
     dispatcher: Dispatcher,
@@ -43,8 +43,8 @@
     dispatcher.report_load_probe(runtime.now(), LoadProbeResult { endpoint, load });
 }
 
-/// The load in a report: the value at `index` of an array, or the one named `active` of an object. `None` if it is
-/// malformed or negative.
+/// Parses the load from a report: the value at `index` of an array, or the field `active` of an object.
+/// Returns `None` if the report is malformed or the load is negative.
 pub fn parse_load(report: &[u8], index: usize) -> Option<f64> {
     let load = match serde_json::from_slice(report).ok()? {
         Value::Array(values) => values.get(index)?.as_f64()?,
--- a/crates/balancer/src/upstream/outgoing.rs
+++ b/crates/balancer/src/upstream/outgoing.rs
@@ -1,4 +1,4 @@
-//! Requests as they are sent to endpoints.
+//! Requests in the form in which they are sent to endpoints.
 
 use std::net::SocketAddr;
 
@@ -11,23 +11,23 @@
 use crate::runtime::duration;
 use crate::upstream::load_probes::LOAD_REPORT_PATH;
 
-/// The time that a request has left, in milliseconds.
+/// Header field with the time left for a request, in milliseconds.
 pub const TIMEOUT_HEADER: HeaderName = HeaderName::from_static("req-deadline-ms");
 
-/// What all attempts of a request send.
+/// The content that all attempts of a request send.
 pub struct OutgoingRequest {
     /// Method, path and header fields.
     pub head: request::Parts,
     /// The body.
     pub body: RequestBody,
-    /// Time for the response, from the last byte of the request.
+    /// Time allowed for the response, from the last byte of the request.
     pub timeout: Ticks,
-    /// The end of that time if the body is buffered.
+    /// The end of that time, if the body is buffered.
     pub deadline: Timestamp,
 }
 
 impl OutgoingRequest {
-    /// Time that the endpoint has for the response.
+    /// Returns the time that the endpoint has for the response.
     pub(super) fn remaining(&self, now: Timestamp) -> Ticks {
         match self.body {
             RequestBody::Buffered(_) => self.deadline - now,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The time before which an attempt has to begin.
+    /// Returns the time before which an attempt has to start.
     pub(super) fn begin_deadline(&self) -> Timestamp {
         match self.body {
             RequestBody::Buffered(_) => self.deadline,
@@ -43,10 +43,10 @@
         }
     }
 
-    /// The request of one attempt.
+    /// Builds the request of one attempt.
     pub(super) fn to_request(&self, address: SocketAddr, remaining: Ticks) -> Request<AttemptBody> {
         let mut head = self.head.clone();
-        // A client may have sent an absolute URI; endpoints are asked for the path.
+        // The client may have sent an absolute URI; the request to the endpoint has the path alone.
         let path = head.uri.path_and_query().cloned().unwrap_or(PathAndQuery::from_static("/"));
         head.uri = Uri::from(path);
         head.headers.entry(header::HOST).or_insert_with(|| host_header(address));
@@ -56,7 +56,7 @@
     }
 }
 
-/// The request of a load probe.
+/// Builds the request of a load probe.
 pub(super) fn load_probe_request(address: SocketAddr) -> Request<AttemptBody> {
     let mut request = Request::new(AttemptBody::new(RequestBody::Buffered(Bytes::new())));
     *request.uri_mut() = Uri::from_static(LOAD_REPORT_PATH);
--- a/crates/balancer/src/upstream/pool.rs
+++ b/crates/balancer/src/upstream/pool.rs
@@ -10,7 +10,7 @@
 use crate::sync::lock;
 use crate::upstream::connection::{Connector, UpstreamConnection};
 
-/// How often expired connections are looked for, in parts of the idle timeout.
+/// Interval between searches for expired connections, as a fraction of the idle timeout.
 const SWEEP_INTERVAL_RATIO: f64 = 0.5;
 
 struct IdleConnection {
@@ -18,10 +18,11 @@
     connection: UpstreamConnection,
 }
 
-/// The idle connections to one endpoint, and the way to open more. Closes the idle ones when it is dropped.
+/// The idle connections to one endpoint, with the connector that opens new ones. Dropping the pool closes the
+/// idle connections.
 pub(super) struct ConnectionPool<R: Runtime> {
     connector: Connector<R>,
-    /// In the order in which they became idle.
+    /// The idle connections, in the order in which they became idle.
     idle: Mutex<Vec<IdleConnection>>,
     has_sweeper: AtomicBool,
     idle_available: Notify,
@@ -52,7 +53,7 @@
         idle.pop().map(|idle| idle.connection)
     }
 
-    async fn idle_available(&self) -> UpstreamConnection {
+    async fn wait_for_idle(&self) -> UpstreamConnection {
         loop {
             self.idle_available.notified().await;
             if let Some(connection) = self.pop_idle() {
@@ -61,7 +62,8 @@
         }
     }
 
-    /// An idle connection, or the first that becomes idle or is opened. `None` if none could be opened in time.
+    /// Returns an idle connection, or else the first one that becomes idle or is opened. `None` if none could
+    /// be opened in time.
     pub(super) async fn acquire(self: &Arc<Self>) -> Option<UpstreamConnection> {
         if let Some(connection) = self.pop_idle() {
             return Some(connection);
@@ -70,8 +72,8 @@
         let mut connecting = Box::pin(async move { connector.connect().await });
         tokio::select! {
             biased;
-            connection = self.idle_available() => {
-                // The connection that is being opened serves a later request.
+            connection = self.wait_for_idle() => {
+                // The connection that is being opened is kept for a later request.
                 let pool = self.clone();
                 self.connector.runtime.spawn(async move {
                     if let Ok(connection) = connecting.await {
@@ -84,7 +86,7 @@
         }
     }
 
-    /// Keeps the connection for a later request, once the rest of the response on it has been read.
+    /// Returns the connection to the pool once the rest of the response on it has been read.
     pub(super) fn release(self: &Arc<Self>, mut connection: UpstreamConnection) {
         if connection.is_ready() {
             return self.add_idle(connection);
@@ -108,7 +110,8 @@
     }
 }
 
-/// Closes expired connections until none is left, for endpoints that get no requests.
+/// Closes expired connections until no idle one is left. Otherwise they would stay open on an endpoint that
+/// gets no more requests.
 async fn close_expired<R: Runtime>(connector: Connector<R>, pool: Weak<ConnectionPool<R>>) {
     loop {
         connector.runtime.sleep(duration(connector.idle_timeout.mul_f64(SWEEP_INTERVAL_RATIO))).await;
--- a/crates/balancer/src/upstream/response.rs
+++ b/crates/balancer/src/upstream/response.rs
@@ -1,4 +1,4 @@
-//! Responses of endpoints, and what they mean for the attempt.
+//! Reads the responses of endpoints and determines the results of their attempts.
 
 use std::time::Duration;
 
@@ -14,14 +14,17 @@
 use crate::upstream::attempt_result::AttemptResult;
 use crate::upstream::stream::ExchangeState;
 
-/// With the value `1`, states that a rejected request was not begun.
+/// Header field that declares, with the value `1`, that the endpoint did not start to process a rejected
+/// request.
 const DECLINED_HEADER: HeaderName = HeaderName::from_static("srv-declined");
-/// The body of a response that is not forwarded is read so long, only to keep its connection.
+/// Maximum time for reading the body of a response that is not forwarded, which is read only so that its
+/// connection can be reused.
 const RESPONSE_DRAIN_TIMEOUT: Duration = Duration::from_millis(50);
-/// How often a response is checked for a stall, in parts of the timeout.
+/// Interval between checks of a response for a stall, as a fraction of the timeout.
 const STALL_CHECK_RATIO: f64 = 0.5;
 
-/// Reads a successful response, and classifies any other by its head: nobody waits for the body of a failure.
+/// Reads a successful response, and classifies any other by its head alone, so that no request waits for the
+/// body of a failure.
 pub(super) async fn read_response<R: Runtime>(
     runtime: &R,
     response: Response<Incoming>,
@@ -38,7 +41,7 @@
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_declined => {
             AttemptResult::Overloaded
         }
-        _ => AttemptResult::ErrorAnswer,
+        _ => AttemptResult::ErrorResponse,
     }
 }
 
@@ -48,7 +51,7 @@
     runtime.spawn(async move { drop(task_runtime.timeout(RESPONSE_DRAIN_TIMEOUT, rest).await) });
 }
 
-/// Buffers a short response whole, so that one that breaks off is not forwarded as if it were complete.
+/// Buffers a short response whole, so that a truncated one is not forwarded as if it were complete.
 async fn buffer_response<R: Runtime>(
     runtime: &R,
     response: Response<Incoming>,
@@ -58,7 +61,8 @@
     match response_body::buffer_response(runtime, body, buffering_time).await {
         Ok(body) => {
             remove_hop_by_hop_headers(&mut head.headers);
-            // Derived anew from the body: beside a chunked one it may have any value.
+            // The length is derived from the body again, since the field may have any value if the body is
+            // chunked.
             head.headers.remove(header::CONTENT_LENGTH);
             head.version = Version::HTTP_11;
             AttemptResult::Succeeded(Response::from_parts(head, body))
@@ -68,8 +72,8 @@
     }
 }
 
-/// Completes once a response has begun and made no progress for `timeout`: it would else hold the request until its
-/// deadline.
+/// Completes once a response has started and made no progress for `timeout`. A stalled response would
+/// otherwise hold the request until its deadline.
 pub(super) async fn wait_for_response_stall<R: Runtime>(
     runtime: &R,
     exchange_state: &ExchangeState,
--- a/crates/balancer/src/upstream/stream.rs
+++ b/crates/balancer/src/upstream/stream.rs
@@ -1,4 +1,4 @@
-//! The byte stream of a connection to an endpoint, which withholds requests that are no longer wanted.
+//! The byte stream of a connection to an endpoint. It does not write a request that is no longer wanted.
 
 use std::io;
 use std::pin::Pin;
@@ -17,18 +17,19 @@
 
 type BeginCheck = Box<dyn Fn() -> bool + Send>;
 
-/// What passed on a connection. Shared by the stream, which the HTTP library owns, and the connection.
+/// The state of the exchanges on a connection, shared by the stream, which the HTTP library owns, and the
+/// connection.
 #[derive(Default)]
 pub(super) struct ExchangeState {
-    /// The last byte of what was being written was never sent.
+    /// Whether a write failed, so that the last byte of the request was never sent.
     write_failed: AtomicBool,
-    /// The same, because the request was no longer wanted.
+    /// Whether the request was not written because it was no longer wanted.
     is_withheld: AtomicBool,
-    /// A request was written to the connection.
+    /// Whether a request was written to the connection.
     was_used: AtomicBool,
-    /// Arrival of the last byte of the response, once it has begun.
+    /// Time at which the latest bytes of the response were read; `None` before its first byte.
     last_read_at: Mutex<Option<Timestamp>>,
-    /// Whether the request whose first byte comes next is still wanted.
+    /// Check whether the next request is still wanted, made just before its first byte is written.
     may_begin: Mutex<Option<BeginCheck>>,
 }
 
@@ -63,14 +64,14 @@
     }
 }
 
-/// A connection to an endpoint, with its share of the sockets.
+/// The stream of a connection to an endpoint, with the permit for its socket.
 pub(super) struct UpstreamStream<R: Runtime> {
     runtime: R,
     stream: R::Stream,
     exchange_state: Arc<ExchangeState>,
-    /// Nothing was written since the last response.
+    /// Whether nothing has been written since the last response.
     is_between_exchanges: bool,
-    /// An attempt was begun and is not counted as sent yet.
+    /// Whether an attempt has been started and not been counted as sent.
     is_send_uncounted: bool,
     metrics: Arc<Metrics>,
     _socket_permit: OwnedSemaphorePermit,
@@ -98,9 +99,10 @@
         self.exchange_state.clone()
     }
 
-    /// Checks, without an await before the first byte, that the request is still wanted and that the connection has no
-    /// unread bytes and no end. The system is asked, since what the runtime knows is older: unread bytes would pass for
-    /// the response, and a request written to an ended connection has an unknown outcome.
+    /// Checks that the request is still wanted, and that the connection has no unread bytes and has not
+    /// ended: unread bytes would be taken for the response, and a request written to an ended connection has
+    /// an unknown outcome. There is no await between this check and the first byte. The operating system is
+    /// asked, since the runtime's view is older.
     fn begin_exchange(&mut self, head: &[u8]) -> io::Result<()> {
         if !std::mem::take(&mut self.is_between_exchanges) {
             return Ok(());
@@ -117,7 +119,7 @@
         Ok(())
     }
 
-    fn note_write_error<T>(&self, written: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
+    fn record_write_error<T>(&self, written: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
         if let Poll::Ready(Err(_)) = written {
             self.exchange_state.write_failed.store(true, Ordering::Relaxed);
         }
@@ -125,7 +127,7 @@
     }
 }
 
-/// Load probes are not counted as attempts.
+/// Returns whether the head is that of a load probe, which is not counted as an attempt.
 fn is_load_probe(head: &[u8]) -> bool {
     head.strip_prefix(b"GET ").is_some_and(|target| target.starts_with(LOAD_REPORT_PATH.as_bytes()))
 }
@@ -145,10 +147,10 @@
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
         self.begin_exchange(bytes)?;
         let written = Pin::new(&mut self.stream).poll_write(cx, bytes);
-        self.note_write_error(written)
+        self.record_write_error(written)
     }
 
-    /// The HTTP library flushes once it has written all that it has.
+    /// Counts the attempt as sent: the HTTP library flushes once it has written everything that it has.
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
         ready!(Pin::new(&mut self.stream).poll_flush(cx))?;
         if std::mem::take(&mut self.is_send_uncounted) {
@@ -172,7 +174,7 @@
     ) -> Poll<io::Result<usize>> {
         self.begin_exchange(bytes.first().map_or(&[], |first| first))?;
         let written = Pin::new(&mut self.stream).poll_write_vectored(cx, bytes);
-        self.note_write_error(written)
+        self.record_write_error(written)
     }
 }
 
--- a/crates/balancer/src/upstream/stream/tests.rs
+++ b/crates/balancer/src/upstream/stream/tests.rs
@@ -1,4 +1,4 @@
-//! What is written to a connection, and what is not, against real sockets.
+//! Tests on real sockets which requests are written to a connection and which are withheld.
 
 use std::io::Write as _;
 
@@ -10,31 +10,34 @@
 use crate::runtime::system::SystemRuntime;
 
 #[tokio::test]
-async fn no_request_is_written_when_input_waits_or_the_connection_has_ended() {
+async fn request_is_withheld_on_unread_input_or_closed_connection() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let sockets = Arc::new(Semaphore::new(8));
     let mut trace = String::new();
-    for behind in ["nothing", "a response", "the end"] {
+    for input in ["none", "unread bytes", "closed"] {
         let runtime = SystemRuntime::start();
         let stream = runtime.connect(listener.local_addr().unwrap()).await.unwrap();
-        let mut theirs = Some(listener.accept().unwrap().0);
-        let held = sockets.clone().acquire_owned().await.unwrap();
+        let mut peer = Some(listener.accept().unwrap().0);
+        let permit = sockets.clone().acquire_owned().await.unwrap();
         let metrics = Arc::new(Metrics::new(std::iter::empty()));
-        let mut wire = UpstreamStream::new(runtime, stream, held, metrics);
-        match behind {
-            "a response" => theirs.as_mut().unwrap().write_all(b"HTTP/1.1 200 OK").unwrap(),
-            "the end" => drop(theirs.take()),
+        let mut upstream_stream = UpstreamStream::new(runtime, stream, permit, metrics);
+        match input {
+            "unread bytes" => peer.as_mut().unwrap().write_all(b"HTTP/1.1 200 OK").unwrap(),
+            "closed" => drop(peer.take()),
             _ => {}
         }
-        let written =
-            std::future::poll_fn(|cx| Pin::new(&mut wire).poll_write(cx, b"GET / HTTP/1.1\r\n\r\n")).await;
-        let failed = wire.exchange_state.write_failed.load(Ordering::Relaxed);
-        trace += &format!("{behind}: {:?}, proved unsent {failed}\n", written.map_err(|error| error.kind()));
+        let written = std::future::poll_fn(|cx| {
+            Pin::new(&mut upstream_stream).poll_write(cx, b"GET / HTTP/1.1\r\n\r\n")
+        })
+        .await;
+        let write_failed = upstream_stream.exchange_state.write_failed.load(Ordering::Relaxed);
+        trace +=
+            &format!("{input}: {:?}, write failed {write_failed}\n", written.map_err(|error| error.kind()));
     }
     expect![[r#"
-        nothing: Ok(18), proved unsent false
-        a response: Err(ConnectionReset), proved unsent true
-        the end: Err(ConnectionReset), proved unsent true
+        none: Ok(18), write failed false
+        unread bytes: Err(ConnectionReset), write failed true
+        closed: Err(ConnectionReset), write failed true
     "#]]
     .assert_eq(&trace);
 }
