--- a/crates/balancer/src/http/server.rs
+++ b/crates/balancer/src/http/server.rs
@@ -48,7 +48,7 @@
         source: io::Error,
     },
     /// Announcing this process to its sibling processes failed.
-    #[error("to tell others that this process serves: {0}")]
+    #[error("announcing this process to its sibling processes failed: {0}")]
     Announce(#[source] io::Error),
 }
 
@@ -117,7 +117,7 @@
         let learned_state = self.components.dispatcher.snapshot(now);
         let text = snapshot::encode(self.config.settings_hash, now, &learned_state);
         if let Err(error) = siblings.save_snapshot(&text) {
-            log_line!(self.runtime, "learned state could not be saved for the successor: {error}");
+            log_line!(self.runtime, "server: learned state could not be saved for the successor: {error}");
         }
     }
 
@@ -128,7 +128,7 @@
         self.components.readiness.set_ready(!has_successor && !self.lifecycle.is_draining());
         self.components.delegate_warming(now, since);
         let change = if has_successor { "is serving" } else { "has exited" };
-        log_line!(self.runtime, "successor process {change}");
+        log_line!(self.runtime, "server: successor process {change}");
     }
 
     /// Restores the learned state that the predecessor saved if it is recent and was saved with the same
@@ -160,7 +160,7 @@
     tokio::pin!(shutdown);
     if has_predecessor {
         if wait_for_discovery(&server, shutdown.as_mut()).await.is_break() {
-            log_line!(server.runtime, "shutdown requested before serving");
+            log_line!(server.runtime, "server: shutdown requested before serving");
             return Ok(());
         }
         take_over(&server, siblings);
@@ -239,7 +239,7 @@
     server.components.readiness.set_ready(true);
     // If the configured port is 0, the operating system has chosen one.
     let address = listener.local_addr().unwrap_or(server.config.listen_address);
-    log_line!(server.runtime, "serving on {address}");
+    log_line!(server.runtime, "server: serving on {address}");
     Ok(())
 }
 
@@ -269,14 +269,14 @@
         }
     }
     drop(listener);
-    log_line!(*runtime, "stopped with {} connections open", connections.count());
+    log_line!(*runtime, "server: stopped with {} connections open", connections.count());
 }
 
 /// Starts the shutdown and returns the time of the next check, which is now.
 fn on_shutdown<R: Runtime>(server: &Server<R>) -> Timestamp {
     server.components.readiness.set_ready(false);
     server.lifecycle.on_shutdown_requested(server.runtime.now());
-    log_line!(server.runtime, "shutdown requested");
+    log_line!(server.runtime, "server: shutdown requested");
     server.lifecycle.notify_shutdown();
     server.runtime.now()
 }
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -238,7 +238,7 @@
     let of_log = log.clone();
     let address = lines.find_map(|line| {
         log.record(&line);
-        line.strip_prefix("serving on ").map(|found| found.parse().unwrap())
+        line.strip_prefix("server: serving on ").map(|found| found.parse().unwrap())
     });
     let address = address.expect("the address in the log");
     thread::spawn(move || lines.for_each(|line| of_log.record(&line)));
--- a/crates/cli/tests/gone.rs
+++ b/crates/cli/tests/gone.rs
@@ -192,7 +192,7 @@
     // All their time passes, from the last of them on.
     thread::sleep(Duration::from_millis(900));
     balancer.signal("CONT");
-    balancer.log.wait_until("its stall", |log| log.contains("process was stalled for"));
+    balancer.log.wait_until("its stall", |log| log.contains("server: process was stalled for"));
     balancer.signal("STOP");
     thread::sleep(Duration::from_millis(300));
     balancer.signal("CONT");
--- a/crates/cli/tests/races.rs
+++ b/crates/cli/tests/races.rs
@@ -184,7 +184,7 @@
     );
     balancer.signal("TERM");
     let asked = Instant::now();
-    balancer.log.wait_for("shutdown requested");
+    balancer.log.wait_for("server: shutdown requested");
     // It has no connection, and nothing but the time keeps it. It stands still until that is over.
     balancer.signal("STOP");
     let mut client = Client::new(&balancer);
@@ -213,7 +213,7 @@
     }
     balancer.signal("TERM");
     let asked = Instant::now();
-    balancer.log.wait_for("shutdown requested");
+    balancer.log.wait_for("server: shutdown requested");
     balancer.signal("STOP");
     for (id, client) in clients.iter_mut().enumerate() {
         client.post("/", &format!("second-{id}"));
@@ -262,7 +262,7 @@
             }
         }
         balancer.signal("TERM");
-        balancer.log.wait_for("shutdown requested");
+        balancer.log.wait_for("server: shutdown requested");
         let asked = Instant::now();
         // The connections are let go of at two thirds of 2 s. Around it one request begins every 2 ms, and goes on 150 ms later.
         let converse = |place: usize, client: &mut Client| {
@@ -307,7 +307,7 @@
     held.post("/slow", "1");
     trace.wait_for("A: POST /slow HTTP/1.1 id 1 body \"one\"");
     balancer.signal("TERM");
-    balancer.log.wait_for("shutdown requested");
+    balancer.log.wait_for("server: shutdown requested");
     for signal in ["TERM", "INT", "HUP", "TERM"] {
         balancer.signal(signal);
     }
--- a/crates/cli/tests/stored_snapshot.rs
+++ b/crates/cli/tests/stored_snapshot.rs
@@ -120,7 +120,7 @@
     command.env_remove("PROXY_CONTROL").stderr(Stdio::piped());
     let mut process = Process(command.spawn().unwrap());
     let mut lines = BufReader::new(process.0.stderr.take().unwrap()).lines().map_while(Result::ok);
-    assert!(lines.any(|line| line.starts_with("serving on ")), "it ended before it served");
+    assert!(lines.any(|line| line.starts_with("server: serving on ")), "it ended before it served");
     thread::spawn(move || lines.for_each(drop));
     process
 }
--- a/crates/cli/tests/upgrade.rs
+++ b/crates/cli/tests/upgrade.rs
@@ -50,7 +50,7 @@
         let log = Trace::default();
         let of_log = log.clone();
         thread::spawn(move || lines.for_each(|line| of_log.record(&line)));
-        log.wait_for_prefix("serving on ", 1);
+        log.wait_for_prefix("server: serving on ", 1);
         let text = log.0.0.lock().unwrap().clone();
         let at = text.lines().find_map(|line| line.strip_prefix("serving operators on ")).unwrap();
         let at = at.parse().unwrap();
@@ -134,7 +134,7 @@
     told.record(&format!("out: {}", call_admin(at_old, "POST /_upstreams/detach", "a")));
     let (new, at_new) = platform.start();
     told.record(&format!("new: {}", call_admin(at_new, "GET /_ready", "")));
-    old.log.wait_for("successor process is serving");
+    old.log.wait_for("server: successor process is serving");
     told.record(&format!("old: {}", call_admin(at_old, "GET /_ready", "")));
     // A call to the one binds the other: b is out at both, and a is back.
     told.record(&format!("back at the old one: {}", call_admin(at_old, "POST /_upstreams/attach", "a")));
@@ -202,9 +202,9 @@
     hung.wait().unwrap();
     // One that is killed once it serves, which leaves its file behind.
     let (new, _) = platform.start();
-    old.log.wait_for("successor process is serving");
+    old.log.wait_for("server: successor process is serving");
     drop(new);
-    old.log.wait_for("successor process has exited");
+    old.log.wait_for("server: successor process has exited");
     told.record(&format!("old: {}", call_admin(at_old, "GET /_ready", "")));
     Client::new(&old).get("/", "2").record_answer(&told);
     trace.record("go on");
@@ -213,7 +213,7 @@
     let mut kept = Client::new(&old);
     kept.get("/", "3").record_answer(&told);
     let (new, at_new) = platform.start();
-    old.log.wait_for_prefix("successor process is serving", 2);
+    old.log.wait_for_prefix("server: successor process is serving", 2);
     kept.get("/", "4").record_answer(&told);
     let answered = || metric(at_old, "edge_proxy.answered.look:");
     let before = answered();
@@ -284,8 +284,8 @@
     let stop = format!("kill -TERM {}", new.id());
     assert!(Command::new("sh").arg("-c").arg(stop).status().unwrap().success());
     let said: Vec<String> = lines.collect();
-    assert!(!said.iter().any(|line| line.starts_with("serving on")), "{said:?}");
-    assert!(said.iter().any(|line| line == "shutdown requested before serving"), "{said:?}");
+    assert!(!said.iter().any(|line| line.starts_with("server: serving on")), "{said:?}");
+    assert!(said.iter().any(|line| line == "server: shutdown requested before serving"), "{said:?}");
     assert_eq!(new.wait().unwrap().code(), Some(0));
     assert_eq!(call_admin(at_old, "GET /_ready", ""), "200");
     Client::new(&old).get("/", "1").record_answer(&trace);
