--- a/crates/balancer/src/http.rs
+++ b/crates/balancer/src/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP server for clients: connections, request heads, bodies, dispatch and shutdown.
+//! Serves clients over HTTP: connections, request heads, bodies, dispatch and shutdown.
 
 pub mod body;
 pub mod client_connections;
--- a/crates/balancer/src/http/body.rs
+++ b/crates/balancer/src/http/body.rs
@@ -1,4 +1,4 @@
-//! Buffering of whole bodies.
+//! Buffers whole bodies.
 
 use axum::BoxError;
 use bytes::Bytes;
@@ -8,7 +8,7 @@
 
 use crate::http::MAX_BUFFERED_BYTES;
 
-/// Why a body could not be read.
+/// States why a body could not be read.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum BodyError {
     /// The body is longer than allowed.
--- a/crates/balancer/src/http/client_connections.rs
+++ b/crates/balancer/src/http/client_connections.rs
@@ -1,4 +1,5 @@
-//! All client connections of a process: limits their number and evicts idle ones to make room for others.
+//! Manages all client connections of a process: limits their number and evicts idle ones to make room for
+//! others.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -28,7 +29,7 @@
 /// One connection in this many of the active limit is accepted beyond the limit.
 const EXTRA_CONNECTIONS_DIVISOR: usize = 20;
 
-/// The client connections of one process.
+/// Holds the client connections of one process.
 pub struct ClientConnections<R: Runtime> {
     runtime: R,
     max_sockets: AtomicUsize,
@@ -138,7 +139,7 @@
 
     /// Accepts a connection once there is room for it, evicting another one if necessary.
     ///
-    /// Cancel safe.
+    /// This method is cancel safe.
     pub async fn accept(&self, listener: &R::Listener) -> R::Stream {
         loop {
             let max_active = self.max_active();
--- a/crates/balancer/src/http/connection.rs
+++ b/crates/balancer/src/http/connection.rs
@@ -1,5 +1,5 @@
-//! The state of one client connection, shared by the tasks that read requests from it, respond on it and
-//! evict it.
+//! Holds the state of one client connection, which the tasks that read requests from it, respond on it and
+//! evict it share.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -12,7 +12,7 @@
 use crate::runtime::stall_detector::StallDetector;
 use crate::sync::lock;
 
-/// A client connection.
+/// Tracks a client connection.
 pub struct ClientConnection<R> {
     runtime: R,
     stall_detector: Arc<Mutex<StallDetector>>,
@@ -37,7 +37,7 @@
     last_received_at: Timestamp,
 }
 
-/// The pace at which a client sends a body.
+/// Describes the pace at which a client sends a body.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceivePace {
     /// The current time.
--- a/crates/balancer/src/http/connection_state.rs
+++ b/crates/balancer/src/http/connection_state.rs
@@ -1,5 +1,4 @@
-//! The states of a client connection: the progress of its request or response, and its deadline in each
-//! state.
+//! Tracks the state of a client connection: the progress of its request or response, and its deadline.
 
 use doorproxy::ids::{Ticks, Timestamp};
 
@@ -21,7 +20,7 @@
 /// Fraction of [`HEAD_TIMEOUT`] after which a connection whose request arrives slowly may be evicted.
 const SLOW_REQUEST_RATIO: f64 = 0.5;
 
-/// The state of a client connection.
+/// States what a client connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectionState {
     /// The connection was accepted at this time, and no byte of a request has arrived.
@@ -40,7 +39,7 @@
     Aborting,
 }
 
-/// How much of a request has arrived.
+/// Tracks how much of a request has arrived.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReceiveProgress {
     started_at: Timestamp,
@@ -52,7 +51,7 @@
     waiting_since: Option<Timestamp>,
 }
 
-/// How many bytes of a request have arrived, and how many are missing.
+/// Counts the bytes of a request that have arrived and those that are missing.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct ReceivedLength {
     received: u64,
--- a/crates/balancer/src/http/dispatch.rs
+++ b/crates/balancer/src/http/dispatch.rs
@@ -22,7 +22,7 @@
 /// As a last resort, a request without a decision fails this long after its deadline.
 const DECISION_GRACE: Ticks = Ticks(100);
 
-/// An upstream service: its dispatcher and the client that connects to its endpoints.
+/// Provides the dispatcher of an upstream service and the client that connects to its endpoints.
 pub trait UpstreamService<R: Runtime>: Send + Sync + 'static {
     /// Returns the dispatcher, which decides on the attempts.
     fn dispatcher(&self) -> &Dispatcher;
@@ -34,7 +34,7 @@
     fn metrics(&self) -> &Arc<Metrics>;
 }
 
-/// A request that was read and can be submitted to the dispatcher.
+/// Holds a request that was read and can be submitted to the dispatcher.
 pub struct ReceivedRequest {
     /// The request as it is submitted to the dispatcher. Its timeout runs from the last byte of the request.
     pub request: NewRequest,
@@ -67,7 +67,7 @@
 }
 
 /// Guards a request in flight: if it is dropped before the response, the dispatcher is told that the client
-/// has gone.
+/// has disconnected.
 struct RequestGuard<'a, R: Runtime> {
     runtime: &'a R,
     dispatcher: &'a Dispatcher,
@@ -86,7 +86,7 @@
 /// `class` is the name under which a streamed response is counted. Once `grace_end` completes, the dispatcher
 /// is told to expire the request. `on_response` may change the head of an endpoint's response.
 ///
-/// Dropping the future reports to the dispatcher that the client has gone.
+/// Dropping the future reports to the dispatcher that the client has disconnected.
 pub async fn dispatch<R: Runtime, U: UpstreamService<R>>(
     runtime: &R,
     service: &Arc<U>,
@@ -139,7 +139,7 @@
     }
 }
 
-/// Makes one attempt and reports its result, even if the request is finished or its client has gone.
+/// Makes one attempt and reports its result, even if the request is finished or its client has disconnected.
 async fn run_attempt<R: Runtime, U: UpstreamService<R>>(
     runtime: R,
     service: Arc<U>,
@@ -154,7 +154,7 @@
     if let AttemptResult::Succeeded(response) = result
         && is_final
     {
-        // Sending only fails if the client has gone.
+        // Sending only fails if the client has disconnected.
         let _ = response_sender.try_send(response);
     }
 }
--- a/crates/balancer/src/http/framing.rs
+++ b/crates/balancer/src/http/framing.rs
@@ -8,7 +8,7 @@
 
 const MAX_HEADER_FIELDS: usize = 64;
 
-/// An error of a client after which nothing more is read from its connection.
+/// States the error of a client after which nothing more is read from its connection.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum ClientError {
     /// The head is longer, or has more fields, than allowed.
@@ -49,7 +49,7 @@
     }
 }
 
-/// How many bytes of the input belong to a request.
+/// States how many bytes of the input belong to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RequestLength {
     /// The length of head and body together.
--- a/crates/balancer/src/http/handler.rs
+++ b/crates/balancer/src/http/handler.rs
@@ -23,8 +23,8 @@
 /// Allowance for the network round trip to the client, whose own timeout starts when it sends the request.
 const CLIENT_MARGIN: Ticks = Ticks(200);
 
-/// Ids of the requests in flight. Endpoints would take two requests with the same id for duplicates of one
-/// request.
+/// Holds the ids of the requests in flight. Endpoints would take two requests with the same id for duplicates
+/// of one request.
 #[derive(Default)]
 pub(super) struct OpenRequestIds(Mutex<BTreeSet<String>>);
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// The id of a request in flight. No other request can have this id until it is dropped.
+/// Reserves the id of a request in flight: no other request can have this id until it is dropped.
 struct OpenRequestId<'a> {
     open_ids: &'a OpenRequestIds,
     id: String,
--- a/crates/balancer/src/http/headers.rs
+++ b/crates/balancer/src/http/headers.rs
@@ -1,4 +1,4 @@
-//! Removal of hop-by-hop header fields, which apply to a single connection.
+//! Removes hop-by-hop header fields, which apply to a single connection.
 
 use axum::http::request::Parts;
 use axum::http::{HeaderMap, HeaderName, Version, header};
--- a/crates/balancer/src/http/lifecycle.rs
+++ b/crates/balancer/src/http/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The phases of a serving process from start to exit, and what the process does in each phase.
+//! Tracks the phases of a serving process from start to exit, and what the process does in each of them.
 
 use std::sync::Mutex;
 
@@ -14,7 +14,7 @@
 /// Time after the end of the grace period for flushing the last responses.
 const FINAL_FLUSH_TIME: Ticks = Ticks(3500);
 
-/// The phase of a process in serving its clients.
+/// States the phase of a process in serving its clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessPhase {
     /// The process accepts connections and requests.
@@ -81,7 +81,7 @@
     }
 }
 
-/// The phase of a process and the time limits of its shutdown.
+/// Holds the phase of a process and the time limits of its shutdown.
 pub struct Lifecycle {
     phase: Mutex<ProcessPhase>,
     grace_period: Ticks,
@@ -161,7 +161,7 @@
     /// Waits for the end of the grace period, after which requests that are still queued are lost when the
     /// process exits.
     ///
-    /// Cancel safe.
+    /// This method is cancel safe.
     pub async fn wait_for_grace_end<R: Runtime>(&self, runtime: &R) {
         // This is created before the phase is read because `notify_waiters` only wakes existing waiters.
         let notified = self.shutdown_notify.notified();
--- a/crates/balancer/src/http/request_body.rs
+++ b/crates/balancer/src/http/request_body.rs
@@ -1,5 +1,5 @@
-//! Request bodies. A short body is buffered whole; of a long one the first bytes are buffered and the rest is
-//! streamed. At most one attempt can send the streamed rest.
+//! Reads and forwards request bodies. A short body is buffered whole; of a long one the first bytes are
+//! buffered and the rest is streamed. At most one attempt can send the streamed rest.
 
 use std::pin::Pin;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -26,12 +26,12 @@
 /// A streamed body is checked for a stall this many times per [`STREAM_IDLE_TIMEOUT`].
 const STALL_CHECK_DIVISOR: u32 = 10;
 
-/// The body of a request.
+/// Holds the body of a request.
 #[derive(Clone)]
 pub enum RequestBody {
-    /// The whole body.
+    /// The whole body is buffered.
     Buffered(Bytes),
-    /// The first bytes of the body, and the rest as it arrives.
+    /// The first bytes are buffered, and the rest is sent as it arrives.
     Streaming(Arc<StreamingBody>),
 }
 
@@ -128,7 +128,7 @@
     Ok(RequestBody::Streaming(Arc::new(body)))
 }
 
-/// How much of a streamed body has been sent.
+/// States how much of a streamed body has been sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendProgress {
     /// No attempt has started to send the body.
@@ -139,7 +139,7 @@
     Complete(Timestamp),
 }
 
-/// A body that is not buffered whole.
+/// Holds the first bytes of a body that is not buffered whole, and streams the rest.
 pub struct StreamingBody {
     announced_length: Option<u64>,
     max_bytes: u64,
@@ -303,7 +303,7 @@
     }
 }
 
-/// The body of a request as one attempt sends it.
+/// Sends the body of a request in one attempt.
 pub struct AttemptBody {
     body: RequestBody,
     attempt: u64,
--- a/crates/balancer/src/http/request_fields.rs
+++ b/crates/balancer/src/http/request_fields.rs
@@ -23,7 +23,7 @@
 const TICKS_PER_MS: i64 = 10;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Why a request is not submitted. These are errors of the client, which is not asked to retry.
+/// States why a request is not submitted. These are errors of the client, which is not asked to retry.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub(super) enum RequestError {
     #[error("no {0}")]
--- a/crates/balancer/src/http/request_head.rs
+++ b/crates/balancer/src/http/request_head.rs
@@ -25,7 +25,7 @@
 const READ_BUFFER_BYTES: usize = 4096;
 const PASSTHROUGH_BUFFER_BYTES: usize = 16 << 10;
 
-/// The stream of a client connection, as the HTTP library reads and writes it.
+/// Wraps the stream of a client connection for the HTTP library, which reads and writes it.
 pub struct HeadValidatingStream<R: Runtime> {
     stream: Arc<R::Stream>,
     client: Arc<ClientConnection<R>>,
@@ -36,7 +36,7 @@
     remaining: usize,
 }
 
-/// Bytes of the buffer that arrived in one read, or in several with the same arrival time.
+/// Counts bytes of the buffer that arrived in one read, or in several with the same arrival time.
 struct ReceivedChunk {
     bytes: usize,
     /// The earliest time at which the bytes can have arrived.
--- a/crates/balancer/src/http/response_body.rs
+++ b/crates/balancer/src/http/response_body.rs
@@ -1,5 +1,6 @@
-//! Response bodies. A short body is buffered whole; of a long one the first bytes are buffered and the rest
-//! is streamed to the client. A truncated response is never passed on as if it were complete.
+//! Reads and forwards response bodies. A short body is buffered whole; of a long one the first bytes are
+//! buffered and the rest is streamed to the client. A truncated response is never passed on as if it were
+//! complete.
 
 use std::future::Future;
 use std::io;
@@ -21,16 +22,16 @@
 use crate::metrics::{InFlightGuard, RequestOutcome};
 use crate::runtime::{Runtime, duration};
 
-/// Extension that marks a response whose body is still being streamed when its head is sent.
+/// Marks, as an extension, a response whose body is still being streamed when its head is sent.
 #[derive(Clone, Copy)]
 pub struct IsStreaming;
 
-/// The body of a response from an endpoint.
+/// Holds the body of a response from an endpoint.
 #[derive(Debug)]
 pub enum ResponseBody {
-    /// The whole body.
+    /// The whole body is buffered.
     Buffered(Bytes),
-    /// The first bytes of the body, and the rest as it arrives.
+    /// The first bytes are buffered, and the rest is forwarded as it arrives.
     Streaming {
         /// The buffered first bytes.
         first: Bytes,
@@ -106,7 +107,7 @@
     class: String,
 }
 
-/// A response body that is being forwarded to the client.
+/// Forwards a response body to the client.
 struct ForwardedBody<R: Runtime> {
     runtime: R,
     client: Arc<ClientConnection<R>>,
@@ -221,7 +222,7 @@
 impl<R: Runtime> Drop for ForwardedBody<R> {
     fn drop(&mut self) {
         // The HTTP library stops polling once all bytes of a known length have arrived. Otherwise the client
-        // has gone, and how much it received is unknown.
+        // has disconnected, and how much it received is unknown.
         if self.size_hint().exact() == Some(0) {
             self.count_outcome(RequestOutcome::Succeeded);
         }
--- a/crates/balancer/src/http/responses.rs
+++ b/crates/balancer/src/http/responses.rs
@@ -1,4 +1,4 @@
-//! Responses that the proxy generates itself.
+//! Builds the responses that the proxy generates itself.
 
 use axum::http::{HeaderValue, StatusCode, header};
 use axum::response::{IntoResponse, Response};
--- a/crates/balancer/src/http/serve_connection.rs
+++ b/crates/balancer/src/http/serve_connection.rs
@@ -128,7 +128,7 @@
 }
 
 /// Completes once the client has closed the connection while its request is in flight and unread bytes hide
-/// the close. Without this check, attempts would continue for a client that has gone.
+/// the close. Without this check, attempts would continue for a client that has disconnected.
 async fn wait_for_hidden_close<R: Runtime>(runtime: &R, stream: &R::Stream, client: &ClientConnection<R>) {
     loop {
         client.unread_input.notified().await;
--- a/crates/balancer/src/http/server.rs
+++ b/crates/balancer/src/http/server.rs
@@ -1,4 +1,5 @@
-//! The server for clients: accepts connections, gives each request one response, and drains on shutdown.
+//! Runs the server for clients, which accepts connections, gives each request one response, and drains on
+//! shutdown.
 
 use std::future::Future;
 use std::io;
@@ -36,7 +37,7 @@
 /// Interval at which the sibling processes and the progress of a shutdown are checked.
 const LIFECYCLE_CHECK_INTERVAL: Ticks = Ticks(500);
 
-/// An error that keeps a balancer from serving.
+/// States why a balancer can't serve.
 #[derive(Debug, Error)]
 pub enum ServeError {
     /// Listening on the address for clients failed.
@@ -52,7 +53,7 @@
     Announce(#[source] io::Error),
 }
 
-/// The server for clients of one process.
+/// Holds the state of a process's server for clients.
 pub struct Server<R: Runtime> {
     pub(super) runtime: R,
     pub(super) config: Arc<Config>,
--- a/crates/balancer/src/upstream.rs
+++ b/crates/balancer/src/upstream.rs
@@ -1,5 +1,5 @@
-//! The client that connects to endpoints. It makes the attempts that the dispatcher decides on, with a
-//! connection pool for each endpoint. It does not retry or choose endpoints.
+//! Connects to endpoints and makes the attempts that the dispatcher decides on, with a connection pool for
+//! each endpoint. This module does not retry or choose endpoints.
 
 pub mod attempt_result;
 mod connection;
@@ -45,7 +45,7 @@
     max_sockets * 5 / 16
 }
 
-/// Timeouts of connections to endpoints.
+/// Holds the timeouts of connections to endpoints.
 #[derive(Clone, Copy)]
 pub struct UpstreamTimeouts {
     /// Time within which a connection has to be established.
@@ -56,7 +56,7 @@
     pub response_buffering: Ticks,
 }
 
-/// The connections to all endpoints of one upstream service.
+/// Holds the connections to all endpoints of one upstream service.
 pub struct UpstreamClient<R: Runtime> {
     runtime: R,
     is_success: fn(StatusCode) -> bool,
@@ -90,7 +90,7 @@
     }
 }
 
-/// The state of an endpoint that an attempt needs, even if the endpoint is removed during the attempt.
+/// Holds the state of an endpoint that an attempt needs, even if the endpoint is removed during the attempt.
 struct AttemptTarget<R: Runtime> {
     address: SocketAddr,
     pool: Arc<ConnectionPool<R>>,
--- a/crates/balancer/src/upstream/attempt_result.rs
+++ b/crates/balancer/src/upstream/attempt_result.rs
@@ -1,20 +1,20 @@
-//! The results of attempts, and the outcomes that the dispatcher derives from them.
+//! Defines the results of attempts, and maps them to the outcomes that are reported to the dispatcher.
 
 use axum::response::Response;
 use doorproxy::effects::AttemptOutcome;
 
 use crate::http::response_body::ResponseBody;
 
-/// The result of an attempt. A result states that the request was not processed only if that is certain.
+/// States how an attempt ended. A result says that the request was not processed only if that is certain.
 #[derive(Debug)]
 pub enum AttemptResult {
-    /// A successful response, buffered whole or with its first bytes.
+    /// A successful response was received, buffered whole or with its first bytes.
     Succeeded(Response<ResponseBody>),
     /// The endpoint rejected the request and declared that it did not start to process it.
     Overloaded,
-    /// Any other response, including a rejection without that declaration.
+    /// Any other response was received, including a rejection without that declaration.
     ErrorResponse,
-    /// A successful response whose body exceeds the limit for forwarding.
+    /// The endpoint sent a successful response whose body exceeds the limit for forwarding.
     ResponseTooLarge,
     /// The connection was refused, timed out, or ended before anything was sent on it; or no socket was free.
     ConnectFailed,
--- a/crates/balancer/src/upstream/connection.rs
+++ b/crates/balancer/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to an endpoint, which carries one request at a time.
+//! Manages a connection to an endpoint, which carries one request at a time.
 
 use std::io;
 use std::net::SocketAddr;
@@ -53,7 +53,7 @@
     }
 }
 
-/// An error that leaves an exchange without a response.
+/// States why an exchange has no response.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub(super) enum ExchangeError {
     /// The request was no longer wanted when its first byte was about to be written.
@@ -67,7 +67,7 @@
     ConnectionBroken,
 }
 
-/// An open connection to an endpoint.
+/// Sends requests on an open connection to an endpoint.
 pub(super) struct UpstreamConnection {
     sender: SendRequest<AttemptBody>,
     exchange_state: Arc<ExchangeState>,
--- a/crates/balancer/src/upstream/outgoing.rs
+++ b/crates/balancer/src/upstream/outgoing.rs
@@ -1,4 +1,4 @@
-//! Requests in the form in which they are sent to endpoints.
+//! Builds the requests that are sent to endpoints.
 
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
 /// Header field with the time left for a request, in milliseconds.
 pub const TIMEOUT_HEADER: HeaderName = HeaderName::from_static("req-deadline-ms");
 
-/// The content that all attempts of a request send.
+/// Holds what all attempts of a request send.
 pub struct OutgoingRequest {
     /// Method, path and header fields.
     pub head: request::Parts,
--- a/crates/balancer/src/upstream/pool.rs
+++ b/crates/balancer/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! The idle connections to one endpoint.
+//! Pools the idle connections to one endpoint.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, Weak};
@@ -18,8 +18,8 @@
     connection: UpstreamConnection,
 }
 
-/// The idle connections to one endpoint, with the connector that opens new ones. Dropping the pool closes the
-/// idle connections.
+/// Holds the idle connections to one endpoint, and opens new ones. Dropping the pool closes the idle
+/// connections.
 pub(super) struct ConnectionPool<R: Runtime> {
     connector: Connector<R>,
     /// The idle connections, in the order in which they became idle.
--- a/crates/balancer/src/upstream/stream.rs
+++ b/crates/balancer/src/upstream/stream.rs
@@ -1,4 +1,5 @@
-//! The byte stream of a connection to an endpoint. It does not write a request that is no longer wanted.
+//! Wraps the byte stream of a connection to an endpoint, and does not write a request that is no longer
+//! wanted.
 
 use std::io;
 use std::pin::Pin;
@@ -17,8 +18,8 @@
 
 type BeginCheck = Box<dyn Fn() -> bool + Send>;
 
-/// The state of the exchanges on a connection, shared by the stream, which the HTTP library owns, and the
-/// connection.
+/// Holds the state of the exchanges on a connection. It is shared by the stream, which the HTTP library owns,
+/// and the connection.
 #[derive(Default)]
 pub(super) struct ExchangeState {
     /// Whether a write failed, so that the last byte of the request was never sent.
@@ -29,7 +30,7 @@
     was_used: AtomicBool,
     /// Time at which the latest bytes of the response were read; `None` before its first byte.
     last_read_at: Mutex<Option<Timestamp>>,
-    /// Check whether the next request is still wanted, made just before its first byte is written.
+    /// Returns whether the next request is still wanted; called just before its first byte is written.
     may_begin: Mutex<Option<BeginCheck>>,
 }
 
@@ -64,7 +65,7 @@
     }
 }
 
-/// The stream of a connection to an endpoint, with the permit for its socket.
+/// Wraps the stream of a connection to an endpoint and holds the permit for its socket.
 pub(super) struct UpstreamStream<R: Runtime> {
     runtime: R,
     stream: R::Stream,
