--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,5 +1,5 @@
-//! Matches HTTP requests with the routes of a configuration. The result doesn't depend on the order in which
-//! the routes were written. The crate does no I/O.
+//! Matches HTTP requests against the routes of a configuration. The result does not depend on the order in
+//! which the routes are declared. The crate does no I/O.
 
 #![warn(missing_docs)]
 
--- a/crates/routes/src/pattern.rs
+++ b/crates/routes/src/pattern.rs
@@ -1,81 +1,82 @@
-//! Patterns of routes: hosts, a path, methods and header fields. A form that no request could match is an
-//! error.
+//! Defines and parses the patterns of routes: host, path, methods and header fields. A pattern that no
+//! request could match is an error.
 
 use thiserror::Error;
 
 use crate::request::{InvalidRequest, decode_segments, normalize_host};
 
-/// The end of a path pattern that also matches everything below.
+/// Ends a path pattern that matches every path below it.
 const PREFIX_SUFFIX: &str = "/**";
 const SUBDOMAIN_PREFIX: &str = "*.";
 
-/// The hosts that a route matches.
+/// Describes which hosts a route matches.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HostPattern {
-    /// This name, in lower case.
+    /// Matches this name, which is in lower case.
     Exact(String),
-    /// Every name below this one, at any depth.
+    /// Matches every subdomain of this name, at any depth, but not the name itself.
     Subdomains(String),
-    /// Every name, and requests without one.
+    /// Matches every host, and requests that name none.
     Any,
 }
 
-/// One segment of a path pattern.
+/// Describes which texts one segment of a path pattern matches.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SegmentPattern {
-    /// This text.
+    /// Matches exactly this text.
     Literal(String),
-    /// Any text that is not empty, with the name of the parameter.
+    /// Matches any non-empty text. Holds the name of the parameter.
     Parameter(String),
 }
 
-/// The paths that a route matches.
+/// Describes which paths a route matches.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PathPattern {
-    /// From the left.
+    /// Lists the segment patterns from left to right.
     pub segments: Vec<SegmentPattern>,
-    /// Whether paths below match instead: at least one more segment, which may be empty.
+    /// If set, the pattern matches only paths below it, which have at least one more segment. That segment
+    /// may be empty.
     pub is_prefix: bool,
 }
 
-/// The requests that a route matches.
+/// Describes which requests a route matches.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RoutePattern {
-    /// The hosts.
+    /// Which hosts match.
     pub host: HostPattern,
-    /// The paths.
+    /// Which paths match.
     pub path: PathPattern,
-    /// In upper case and in order; empty for all.
+    /// Lists the methods that match, in upper case and sorted. An empty list matches all.
     pub methods: Vec<String>,
-    /// Names in lower case, in order, each with the value that it has to have.
+    /// Lists the required header fields, sorted: each has a name in lower case and a value.
     pub headers: Vec<(String, String)>,
 }
 
-/// Why a text is no pattern.
+/// Says why a text is not a valid pattern.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PatternError {
-    /// Requests with such a path are rejected before any route is looked for.
-    #[error("no request can take it: {0}")]
+    /// Requests with such a path are rejected before routing.
+    #[error("requests with this path are rejected: {0}")]
     Unreachable(#[source] InvalidRequest),
-    /// `**` stands elsewhere than at the end.
-    #[error("** stands for all that follows, so only at the end")]
+    /// `**` is used elsewhere than at the end.
+    #[error("** is only allowed as the last segment")]
     MisplacedWildcard,
-    /// A parameter, by its name, is only a part of a segment or has an invalid name.
-    #[error("{{{0}}} has to be a whole segment with a name of letters, digits and _")]
+    /// The named parameter is only a part of a segment, or its name is invalid.
+    #[error("{{{0}}} must be a whole segment with a name of letters, digits and _")]
     InvalidParameter(String),
     /// Two parameters have this name.
-    #[error("{{{0}}} stands twice")]
+    #[error("{{{0}}} is used twice")]
     DuplicateParameter(String),
-    /// The host is neither a name nor a wildcard with a name.
-    #[error("a host is a name, or *. and a name")]
+    /// The host is neither a name nor `*.` followed by a name.
+    #[error("a host must be a name, or *. followed by a name")]
     InvalidHost,
 }
 
 impl HostPattern {
-    /// Parses a name, or `*.` and a name.
+    /// Parses a name, or `*.` followed by a name.
     ///
     /// # Errors
-    /// Where the name is invalid.
+    /// Returns an error if the name is invalid.
     pub fn parse(text: &str) -> Result<HostPattern, PatternError> {
         let normalize = |name| normalize_host(name).map_err(|_| PatternError::InvalidHost);
         match text.strip_prefix(SUBDOMAIN_PREFIX) {
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Whether a normalized host matches.
+    /// Returns whether a normalized host matches.
     pub fn matches(&self, host: &str) -> bool {
         match self {
             HostPattern::Exact(name) => name == host,
@@ -118,7 +119,7 @@
         }
     }
 
-    /// The literal text; parameters are equal whatever their names.
+    /// Returns the literal text. For a parameter it is `None`, so that its name plays no part in comparisons.
     fn literal(&self) -> Option<&str> {
         match self {
             SegmentPattern::Literal(text) => Some(text),
@@ -128,10 +129,10 @@
 }
 
 impl PathPattern {
-    /// Parses a path with segments such as `{name}`, and perhaps `/**` at the end.
+    /// Parses a path of literals and parameters such as `{name}`, optionally followed by `/**`.
     ///
     /// # Errors
-    /// Where a segment is invalid, or no request could match.
+    /// Returns an error if a segment is invalid or no request could match.
     pub fn parse(text: &str) -> Result<PathPattern, PatternError> {
         let (text, is_prefix) = match text.strip_suffix(PREFIX_SUFFIX) {
             Some(text) => (text, true),
@@ -159,14 +160,14 @@
         Ok(PathPattern { segments, is_prefix })
     }
 
-    /// The index of the segment that is the parameter of this name.
+    /// Returns the index of the segment that is the parameter with this name.
     pub fn parameter_index(&self, name: &str) -> Option<usize> {
         let is_named =
             |segment: &SegmentPattern| matches!(segment, SegmentPattern::Parameter(known) if known == name);
         self.segments.iter().position(is_named)
     }
 
-    /// Whether the decoded segments of a path match.
+    /// Returns whether the decoded segments of a path match.
     pub fn matches(&self, segments: &[String]) -> bool {
         let has_matching_length = match self.is_prefix {
             true => segments.len() > self.segments.len(),
@@ -176,7 +177,7 @@
         has_matching_length && pairs.all(|(pattern, text)| pattern.matches(text))
     }
 
-    /// Whether the same paths match both, and are compared alike with others.
+    /// Returns whether both match the same paths and rank equally against other patterns.
     fn has_shape_of(&self, other: &PathPattern) -> bool {
         let literals = self.segments.iter().map(SegmentPattern::literal);
         let other_literals = other.segments.iter().map(SegmentPattern::literal);
@@ -185,7 +186,7 @@
 }
 
 impl RoutePattern {
-    /// Whether the same requests can match both, and neither is more specific.
+    /// Returns whether a request can match both patterns while neither is more specific.
     pub fn is_ambiguous_with(&self, other: &RoutePattern) -> bool {
         self.host == other.host
             && self.path.has_shape_of(&other.path)
@@ -194,17 +195,18 @@
             && !self.contradicts_headers_of(other)
     }
 
-    /// Whether the method of a request matches.
+    /// Returns whether the method of a request matches.
     pub fn matches_method(&self, method: &str) -> bool {
         self.methods.is_empty() || self.methods.iter().any(|known| known == method)
     }
 
-    /// Whether the header fields of a request match. They are asked for by their names in lower case.
+    /// Returns whether the header fields of a request match. `field` is called with names in lower case.
     pub fn matches_headers<'a>(&self, field: &impl Fn(&str) -> Option<&'a str>) -> bool {
         self.headers.iter().all(|(name, value)| field(name) == Some(value))
     }
 
-    /// A pattern that names its methods is more specific than one that doesn't.
+    /// Returns whether both match a common method at the same specificity: a pattern that names its methods
+    /// is more specific than one that does not.
     fn shares_method_with(&self, other: &RoutePattern) -> bool {
         match (self.methods.is_empty(), other.methods.is_empty()) {
             (true, true) => true,
@@ -213,7 +215,7 @@
         }
     }
 
-    /// Whether a field has to have different values.
+    /// Returns whether the two patterns require different values of the same header field.
     fn contradicts_headers_of(&self, other: &RoutePattern) -> bool {
         let contradicts = |name: &str, value: &str| {
             other.headers.iter().any(|(known, expected)| known == name && expected != value)
--- a/crates/routes/src/request.rs
+++ b/crates/routes/src/request.rs
@@ -1,24 +1,24 @@
-//! The normalized view of a request: its method, host and path. A target that two parsers could read
+//! Parses a request's target and host into a normalized view. A target that two parsers could interpret
 //! differently is rejected.
 
 use percent_encoding::percent_decode_str;
 use thiserror::Error;
 
-/// Paths with more segments are rejected.
+/// Limits the number of path segments; a request with more is rejected.
 pub const MAX_SEGMENTS: usize = 64;
 const MAX_PORT_DIGITS: usize = 5;
 
-/// Why a request is rejected before any route is looked for. All of these are answered 400.
+/// Says why a request is rejected instead of routed. Each of these is answered with 400.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum InvalidRequest {
-    /// The target is neither a path nor a URL.
-    #[error("the target is neither a path that begins with / nor a whole URL")]
+    /// The target is neither a path nor an absolute URL.
+    #[error("the target is neither a path that begins with / nor an absolute http or https URL")]
     InvalidTarget,
-    /// The host is no name and no address.
-    #[error("the host can't be read")]
+    /// The host is neither a name nor an address, or its port is invalid.
+    #[error("the host is invalid")]
     InvalidHost,
     /// The URL and the Host field differ.
-    #[error("the target names another host than the Host field")]
+    #[error("the target and the Host field name different hosts")]
     HostMismatch,
     /// A segment is `.` or `..`.
     #[error("the path has a segment that is . or ..")]
@@ -26,37 +26,37 @@
     /// A segment other than the last is empty.
     #[error("the path has an empty segment")]
     EmptySegment,
-    /// A segment has a slash or a backslash once decoded.
-    #[error("the path has an encoded or backward slash")]
+    /// A segment contains a slash or a backslash after decoding.
+    #[error("the path has an encoded slash or a backslash")]
     EncodedSlash,
-    /// A segment has a control character once decoded.
+    /// A segment contains a control character after decoding.
     #[error("the path has a control character")]
     ControlCharacter,
-    /// A percent sign without two digits, or bytes that are no UTF-8.
-    #[error("the path has a percent sign that no two digits follow, or bytes that are no UTF-8")]
+    /// A percent sign is not followed by two hexadecimal digits, or the decoded bytes are not UTF-8.
+    #[error("the path has an invalid percent escape, or is not UTF-8 after decoding")]
     InvalidEscape,
-    /// More than [`MAX_SEGMENTS`].
-    #[error("the path has too many segments")]
+    /// The path has more than [`MAX_SEGMENTS`] segments.
+    #[error("the path has more than {} segments", MAX_SEGMENTS)]
     TooManySegments,
-    /// Another spelling of the path belongs to a route that repeats less.
-    #[error("another spelling of this path belongs to a route that repeats less")]
+    /// The normalized spelling of the path matches a route that allows fewer retries.
+    #[error("another spelling of this path matches a route that allows fewer retries")]
     AmbiguousSpelling,
 }
 
-/// A request as routes see it.
+/// Holds the parts of a request that routes are matched against.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestView<'a> {
-    /// As the client wrote it.
+    /// Holds the method as the client wrote it.
     pub method: &'a str,
-    /// In lower case, without a port or a final dot. Empty where none is named.
+    /// Holds the host in lower case, without port and trailing dot. It is empty if the request names none.
     pub host: String,
-    /// Decoded once. The path / is one empty segment.
+    /// Lists the path's segments, each decoded once. The path `/` has one empty segment.
     pub segments: Vec<String>,
-    /// Without the question mark, as the client wrote it.
+    /// Holds the query as the client wrote it, without the question mark.
     pub query: Option<&'a str>,
 }
 
-/// The parts of a request line's target, as written.
+/// Holds the parts of a request target as written.
 struct Target<'a> {
     authority: Option<&'a str>,
     path: &'a str,
@@ -64,7 +64,7 @@
 }
 
 impl<'a> Target<'a> {
-    /// A URL may leave its path out.
+    /// Splits a target into its parts. The path of a URL may be empty, and then counts as `/`.
     fn parse(target: &'a str) -> Result<Target<'a>, InvalidRequest> {
         let (authority, rest) = match target.split_once("://") {
             Some((scheme, rest)) if !target.starts_with('/') => {
@@ -87,10 +87,10 @@
 }
 
 impl<'a> RequestView<'a> {
-    /// From the request line's target and the Host field.
+    /// Builds the view from a request's method, target and Host field.
     ///
     /// # Errors
-    /// Where the target or the host is invalid or ambiguous.
+    /// Returns an error if the target or the host is invalid or ambiguous.
     pub fn new(
         method: &'a str,
         target: &'a str,
@@ -107,8 +107,8 @@
         Ok(RequestView { method, host, segments: decode_segments(path)?, query })
     }
 
-    /// The same path as a lenient parser reads it: one that ignores case and a final slash, and drops
-    /// parameters, dots and spaces at the end of a segment. None where that is no other path.
+    /// Returns the path as a lenient parser reads it, one that ignores case and a trailing slash, and drops
+    /// `;` parameters and trailing dots and spaces of each segment. Returns `None` if the path is the same.
     pub fn normalized_path(&self) -> Option<Vec<String>> {
         let normalize = |segment: &String| {
             let without_parameters = segment.split(';').next().unwrap_or_default();
@@ -122,10 +122,10 @@
     }
 }
 
-/// A host in lower case, without its port and a final dot.
+/// Converts a host to lower case, and removes its port and a trailing dot.
 ///
 /// # Errors
-/// Where the text is no host, or its port no number.
+/// Returns an error if the host or its port is invalid.
 pub fn normalize_host(text: &str) -> Result<String, InvalidRequest> {
     let text = text.trim();
     // A colon before a bracket is part of an IPv6 address.
@@ -143,7 +143,7 @@
     Ok(host.to_ascii_lowercase())
 }
 
-/// An empty port is valid: RFC 3986 allows it.
+/// Returns whether a port is valid. An empty one is, since RFC 3986 allows it.
 fn is_valid_port(port: &str) -> bool {
     port.len() <= MAX_PORT_DIGITS && port.bytes().all(|byte| byte.is_ascii_digit())
 }
@@ -157,7 +157,7 @@
 /// Splits a path at its slashes, and decodes each segment once.
 ///
 /// # Errors
-/// Where the path doesn't begin with a slash, has too many segments, or one that is ambiguous.
+/// Returns an error if the path does not begin with a slash, has too many segments, or has an ambiguous one.
 pub fn decode_segments(path: &str) -> Result<Vec<String>, InvalidRequest> {
     let relative = path.strip_prefix('/').ok_or(InvalidRequest::InvalidTarget)?;
     let count = relative.split('/').count();
@@ -188,7 +188,7 @@
     Ok(decoded.into_owned())
 }
 
-/// Whether two hexadecimal digits follow each percent sign.
+/// Returns whether each percent sign is followed by two hexadecimal digits.
 fn has_valid_escapes(bytes: &[u8]) -> bool {
     let mut escapes = bytes.iter().enumerate().filter(|(_, byte)| **byte == b'%');
     escapes.all(|(index, _)| {
--- a/crates/routes/src/router.rs
+++ b/crates/routes/src/router.rs
@@ -1,8 +1,9 @@
-//! Finds the most specific route of a request without trying them all.
+//! Finds the most specific route for a request without trying every route.
 //!
-//! The host decides first: a name written out, then the longest wildcard, then routes for any host. Among
-//! those that are left, paths are compared segment by segment from the left, a literal before `{name}` before
-//! `**`. Equal paths are told apart by more header fields, then by naming methods.
+//! The host decides first: an exact name wins over the longest matching wildcard, which wins over routes for
+//! any host. Among the remaining routes, paths are compared segment by segment from the left: a literal wins
+//! over `{name}`, which wins over `**`. Between equal paths, the route with more header fields wins, then the
+//! one that names its methods.
 
 mod path_tree;
 
@@ -13,10 +14,10 @@
 use crate::request::{InvalidRequest, RequestView};
 use path_tree::PathTree;
 
-/// The index of a pattern among those that the router was built from.
+/// Identifies a pattern by its index in the list that the router was built from.
 pub type PatternIndex = usize;
 
-/// The patterns of a configuration, arranged for lookups.
+/// Indexes the patterns of a configuration by host and path.
 pub struct Router {
     patterns: Vec<RoutePattern>,
     exact_hosts: BTreeMap<String, PathTree>,
@@ -24,44 +25,44 @@
     any_host: PathTree,
 }
 
-/// Why a pattern is not the one that is found, the coarsest reason first.
+/// Says why a pattern was not chosen. Of several reasons, the first in this order is reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mismatch {
     /// The host differs.
     Host,
     /// The path differs.
     Path,
-    /// The method is none of those named.
+    /// The pattern names methods, and the method is none of them.
     Method,
-    /// A header field has another value, or is missing.
+    /// A required header field is missing or has another value.
     Header,
-    /// It matches, and so does a more specific one.
+    /// The pattern matches, but a more specific one does too.
     LessSpecific,
 }
 
 impl fmt::Display for Mismatch {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         formatter.write_str(match self {
-            Mismatch::Host => "another host",
-            Mismatch::Path => "another path",
-            Mismatch::Method => "another method",
+            Mismatch::Host => "the host differs",
+            Mismatch::Path => "the path differs",
+            Mismatch::Method => "the method differs",
             Mismatch::Header => "a header field differs",
-            Mismatch::LessSpecific => "less specific",
+            Mismatch::LessSpecific => "a more specific route matches",
         })
     }
 }
 
-/// A pattern that is not the one that is found, with the reason.
+/// Pairs a pattern that was not chosen with the reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PatternMismatch {
-    /// The pattern.
+    /// Which pattern was not chosen.
     pub pattern: PatternIndex,
-    /// The reason.
+    /// Why it was not chosen.
     pub mismatch: Mismatch,
 }
 
 impl Router {
-    /// A router for patterns of which no two are ambiguous; see [`RoutePattern::is_ambiguous_with`].
+    /// Builds a router. No two patterns may be ambiguous; see [`RoutePattern::is_ambiguous_with`].
     pub fn new(patterns: Vec<RoutePattern>) -> Router {
         let mut router = Router {
             patterns: Vec::new(),
@@ -90,16 +91,16 @@
         }
     }
 
-    /// A pattern by its index.
+    /// Returns the pattern with this index.
     ///
     /// # Panics
-    /// Where the index is not one of this router's.
+    /// Panics if this router has no pattern with the index.
     pub fn pattern(&self, index: PatternIndex) -> &RoutePattern {
         &self.patterns[index]
     }
 
-    /// The most specific pattern that matches a request, by its path as written. Header fields are asked for
-    /// by their names in lower case.
+    /// Returns the most specific pattern that matches a request, by its path as written. `field` is called
+    /// with names in lower case.
     pub fn find<'a>(
         &self,
         request: &RequestView,
@@ -108,12 +109,12 @@
         self.find_path(request, &request.segments, &field)
     }
 
-    /// Like [`Router::find`], but rejects a request if another spelling of its path belongs to a stricter
-    /// route: its endpoint may not distinguish the two, and the looser route would repeat what must not be
-    /// repeated. Strictness grows with what must not be repeated.
+    /// Finds a pattern like [`Router::find`], but rejects a request if the normalized spelling of its path
+    /// matches a stricter route: the endpoint may treat both spellings alike, and the less strict route could
+    /// retry a request that must not run twice. A higher `strictness` means that fewer retries are allowed.
     ///
     /// # Errors
-    /// [`InvalidRequest::AmbiguousSpelling`] for such a request.
+    /// Returns [`InvalidRequest::AmbiguousSpelling`] for such a request.
     pub fn find_unambiguous<'a>(
         &self,
         request: &RequestView,
@@ -131,7 +132,7 @@
         Ok(found)
     }
 
-    /// Why each pattern other than the winner is not the one that is found, in the order of the patterns.
+    /// Explains for each pattern other than the winner why it was not chosen, in the order of the patterns.
     pub fn explain_mismatches<'a>(
         &self,
         request: &RequestView,
@@ -163,7 +164,7 @@
             .or_else(|| self.any_host.find(path, &matches))
     }
 
-    /// Tries the names above the host, from the longest to the shortest.
+    /// Tries the parent domains of the host, from the longest to the shortest.
     fn find_in_subdomains(
         &self,
         host: &str,
--- a/crates/routes/src/router/path_tree.rs
+++ b/crates/routes/src/router/path_tree.rs
@@ -1,4 +1,4 @@
-//! The paths of the patterns of one host, as a tree of segments.
+//! Stores the path patterns of one host in a tree of segments.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -14,9 +14,9 @@
 struct Node {
     literal_children: BTreeMap<String, NodeIndex>,
     parameter_child: Option<NodeIndex>,
-    /// Patterns whose path ends here, the most specific first.
+    /// Lists the patterns whose path ends here, the most specific first.
     exact_patterns: Vec<PatternIndex>,
-    /// Patterns that match what is below, the most specific first.
+    /// Lists the patterns that match all paths below this node, the most specific first.
     prefix_patterns: Vec<PatternIndex>,
 }
 
@@ -38,18 +38,18 @@
     }
 }
 
-/// A tree of path segments. Nodes refer to each other by index; the first is the root.
+/// Holds a tree of path segments. Nodes refer to each other by index; the first is the root.
 pub struct PathTree {
     nodes: Vec<Node>,
 }
 
 impl PathTree {
-    /// A tree without patterns.
+    /// Creates a tree without patterns.
     pub fn new() -> PathTree {
         PathTree { nodes: vec![Node::default()] }
     }
 
-    /// Adds a pattern by its path.
+    /// Adds a pattern at the node of its path.
     pub fn insert(&mut self, index: PatternIndex, pattern: &RoutePattern) {
         let mut node = ROOT;
         for segment in &pattern.path.segments {
@@ -73,7 +73,8 @@
         child
     }
 
-    /// More header fields come first, then patterns that name their methods. Equal ones keep their order.
+    /// Sorts the patterns of each node: those with more header fields come first, then those that name their
+    /// methods. Equal ones keep their order.
     pub fn sort_by_specificity(&mut self, patterns: &[RoutePattern]) {
         let rank = |index: &PatternIndex| {
             let pattern = &patterns[*index];
@@ -85,7 +86,7 @@
         }
     }
 
-    /// The most specific pattern for a path among those that match otherwise.
+    /// Returns the most specific pattern that matches a path and satisfies `matches`.
     pub fn find(&self, path: &[String], matches: &impl Fn(PatternIndex) -> bool) -> Option<PatternIndex> {
         self.find_below(ROOT, path, matches)
     }
--- a/crates/routes/tests/routes.rs
+++ b/crates/routes/tests/routes.rs
@@ -1,5 +1,5 @@
-//! What is seen of a request, and which route takes it: by hand, and against a matcher so slow and plain that it can be
-//! read at a glance.
+//! Tests the parsing of requests and patterns, and compares the router with a reference matcher that tries
+//! every pattern.
 
 use doorproxy::rng::Pcg;
 use doorproxy_routes::pattern::{HostPattern, PathPattern, RoutePattern, SegmentPattern};
@@ -7,10 +7,11 @@
 use doorproxy_routes::router::Router;
 use expect_test::expect;
 
+/// Parses `HOST/PATH METHOD… NAME=VALUE…`, where the host, methods and header fields are optional.
 fn pattern(text: &str) -> RoutePattern {
     let mut words = text.split(' ');
-    let place = words.next().unwrap();
-    let (host, path) = place.split_at(place.find('/').unwrap());
+    let host_and_path = words.next().unwrap();
+    let (host, path) = host_and_path.split_at(host_and_path.find('/').unwrap());
     let host = if host.is_empty() { HostPattern::Any } else { HostPattern::parse(host).unwrap() };
     let mut pattern = RoutePattern {
         host,
@@ -55,9 +56,9 @@
         "/a%252e",
         "/a;v=1/b",
     ];
-    let told = targets.map(|target| match RequestView::new("GET", target, Some("quotes.example:8080")) {
-        Ok(seen) => format!("{target}: {} {:?}\n", seen.host, seen.segments),
-        Err(why) => format!("{target}: {why}\n"),
+    let parsed = targets.map(|target| match RequestView::new("GET", target, Some("quotes.example:8080")) {
+        Ok(request) => format!("{target}: {} {:?}\n", request.host, request.segments),
+        Err(error) => format!("{target}: {error}\n"),
     });
     expect![[r#"
         /a/b?x=1: quotes.example ["a", "b"]
@@ -68,24 +69,24 @@
         //a: the path has an empty segment
         /a/./b: the path has a segment that is . or ..
         /a/%2e%2E/b: the path has a segment that is . or ..
-        /a%2fb: the path has an encoded or backward slash
-        /a%5Cb: the path has an encoded or backward slash
-        /a\b: the path has an encoded or backward slash
+        /a%2fb: the path has an encoded slash or a backslash
+        /a%5Cb: the path has an encoded slash or a backslash
+        /a\b: the path has an encoded slash or a backslash
         /a%00: the path has a control character
-        /a%zz: the path has a percent sign that no two digits follow, or bytes that are no UTF-8
-        /a%2: the path has a percent sign that no two digits follow, or bytes that are no UTF-8
-        /a%ff: the path has a percent sign that no two digits follow, or bytes that are no UTF-8
-        a: the target is neither a path that begins with / nor a whole URL
-        *: the target is neither a path that begins with / nor a whole URL
-        : the target is neither a path that begins with / nor a whole URL
+        /a%zz: the path has an invalid percent escape, or is not UTF-8 after decoding
+        /a%2: the path has an invalid percent escape, or is not UTF-8 after decoding
+        /a%ff: the path has an invalid percent escape, or is not UTF-8 after decoding
+        a: the target is neither a path that begins with / nor an absolute http or https URL
+        *: the target is neither a path that begins with / nor an absolute http or https URL
+        : the target is neither a path that begins with / nor an absolute http or https URL
         http://Quotes.Example.:80/a#f: quotes.example ["a"]
-        http://other.example/a: the target names another host than the Host field
-        ftp://quotes.example/a: the target is neither a path that begins with / nor a whole URL
+        http://other.example/a: the target and the Host field name different hosts
+        ftp://quotes.example/a: the target is neither a path that begins with / nor an absolute http or https URL
         http://quotes.example: quotes.example [""]
         /a%252e: quotes.example ["a%2e"]
         /a;v=1/b: quotes.example ["a;v=1", "b"]
     "#]]
-    .assert_eq(&told.concat());
+    .assert_eq(&parsed.concat());
     let hosts = [
         "A.example.",
         "a.example:80",
@@ -98,23 +99,23 @@
         "user@a",
         "a:99999999",
     ];
-    let told = hosts.map(|host| match RequestView::new("GET", "/", Some(host)) {
-        Ok(seen) => format!("{host:?}: {}\n", seen.host),
-        Err(why) => format!("{host:?}: {why}\n"),
+    let parsed = hosts.map(|host| match RequestView::new("GET", "/", Some(host)) {
+        Ok(request) => format!("{host:?}: {}\n", request.host),
+        Err(error) => format!("{host:?}: {error}\n"),
     });
     expect![[r#"
         "A.example.": a.example
         "a.example:80": a.example
         "a.example:": a.example
         "[::1]:80": [::1]
-        "a b": the host can't be read
-        "": the host can't be read
-        "a..": the host can't be read
-        "a:b:c": the host can't be read
-        "user@a": the host can't be read
-        "a:99999999": the host can't be read
+        "a b": the host is invalid
+        "": the host is invalid
+        "a..": the host is invalid
+        "a:b:c": the host is invalid
+        "user@a": the host is invalid
+        "a:99999999": the host is invalid
     "#]]
-    .assert_eq(&told.concat());
+    .assert_eq(&parsed.concat());
 }
 
 #[test]
@@ -133,25 +134,25 @@
         "a",
         "/a/{b-c}",
     ];
-    let told = texts.map(|text| match PathPattern::parse(text) {
-        Ok(path) => format!("{text}: {} segments, open {}\n", path.segments.len(), path.is_prefix),
-        Err(why) => format!("{text}: {why}\n"),
+    let parsed = texts.map(|text| match PathPattern::parse(text) {
+        Ok(path) => format!("{text}: {} segments, prefix {}\n", path.segments.len(), path.is_prefix),
+        Err(error) => format!("{text}: {error}\n"),
     });
     expect![[r#"
-        /a/{x}/b/**: 3 segments, open true
-        /**: 0 segments, open true
-        /: 1 segments, open false
-        /a/**/b: ** stands for all that follows, so only at the end
-        /a//b: no request can take it: the path has an empty segment
-        /a/../b: no request can take it: the path has a segment that is . or ..
-        /a/%2f: no request can take it: the path has an encoded or backward slash
-        /a/{x: {{x} has to be a whole segment with a name of letters, digits and _
-        /a/{x}/{x}: {x} stands twice
-        /a/x*: {x*} has to be a whole segment with a name of letters, digits and _
-        a: no request can take it: the target is neither a path that begins with / nor a whole URL
-        /a/{b-c}: {b-c} has to be a whole segment with a name of letters, digits and _
+        /a/{x}/b/**: 3 segments, prefix true
+        /**: 0 segments, prefix true
+        /: 1 segments, prefix false
+        /a/**/b: ** is only allowed as the last segment
+        /a//b: requests with this path are rejected: the path has an empty segment
+        /a/../b: requests with this path are rejected: the path has a segment that is . or ..
+        /a/%2f: requests with this path are rejected: the path has an encoded slash or a backslash
+        /a/{x: {{x} must be a whole segment with a name of letters, digits and _
+        /a/{x}/{x}: {x} is used twice
+        /a/x*: {x*} must be a whole segment with a name of letters, digits and _
+        a: requests with this path are rejected: the target is neither a path that begins with / nor an absolute http or https URL
+        /a/{b-c}: {b-c} must be a whole segment with a name of letters, digits and _
     "#]]
-    .assert_eq(&told.concat());
+    .assert_eq(&parsed.concat());
 }
 
 #[test]
@@ -168,7 +169,7 @@
         "*.example/report/{id}",
         "*.a.example/**",
     ];
-    let asked = [
+    let requests = [
         ("GET", "/report/7", "h", ""),
         ("POST", "/report/7", "h", ""),
         ("POST", "/report/7", "h", "1"),
@@ -183,16 +184,17 @@
         ("GET", "/other", "a.example", ""),
         ("GET", "/report/7", "example", ""),
     ];
-    let tell = |texts: &[&str]| {
+    let route_requests = |texts: &[&str]| {
         let router = Router::new(texts.iter().map(|text| pattern(text)).collect());
-        let told = asked.map(|(method, path, host, test)| {
-            let seen = RequestView::new(method, path, Some(host)).unwrap();
-            let found = router.find(&seen, |name| (name == "x-test" && !test.is_empty()).then_some(test));
-            format!("{method} {host} {path}: {}\n", found.map_or("none", |place| texts[place]))
+        let lines = requests.map(|(method, path, host, x_test)| {
+            let request = RequestView::new(method, path, Some(host)).unwrap();
+            let field = |name: &str| (name == "x-test" && !x_test.is_empty()).then_some(x_test);
+            let found = router.find(&request, field);
+            format!("{method} {host} {path}: {}\n", found.map_or("none", |index| texts[index]))
         });
-        told.concat()
+        lines.concat()
     };
-    let told = tell(&texts);
+    let routed = route_requests(&texts);
     expect![[r#"
         GET h /report/7: /report/{id}
         POST h /report/7: /report/{id} POST
@@ -208,17 +210,17 @@
         GET a.example /other: /**
         GET example /report/7: /report/{id}
     "#]]
-    .assert_eq(&told);
-    let backwards: Vec<&str> = texts.iter().rev().copied().collect();
-    assert_eq!(told, tell(&backwards));
+    .assert_eq(&routed);
+    let reversed: Vec<&str> = texts.iter().rev().copied().collect();
+    assert_eq!(routed, route_requests(&reversed));
 }
 
 #[test]
 fn alternative_spelling_never_reaches_a_less_strict_route() {
     let patterns = ["/**", "/report/{id}", "/quotes/**"].map(pattern).to_vec();
     let router = Router::new(patterns);
-    let strictness = |place| u8::from(place == 1);
-    let told = [
+    let strictness = |index| u8::from(index == 1);
+    let results = [
         "/report/7",
         "/Report/7",
         "/report/7/",
@@ -229,8 +231,8 @@
         "/other/",
     ]
     .map(|path| {
-        let seen = RequestView::new("GET", path, None).unwrap();
-        format!("{path}: {:?}\n", router.find_unambiguous(&seen, |_| None, strictness))
+        let request = RequestView::new("GET", path, None).unwrap();
+        format!("{path}: {:?}\n", router.find_unambiguous(&request, |_| None, strictness))
     });
     expect![[r#"
         /report/7: Ok(Some(1))
@@ -242,38 +244,38 @@
         /quotes/Report: Ok(Some(2))
         /other/: Ok(Some(0))
     "#]]
-    .assert_eq(&told.concat());
+    .assert_eq(&results.concat());
 }
 
-// Against the slow matcher.
-
-fn reference_matches(pattern: &RoutePattern, seen: &RequestView, field: Option<&str>) -> bool {
-    let host = match &pattern.host {
-        HostPattern::Exact(name) => seen.host == *name,
-        HostPattern::Subdomains(name) => seen.host.ends_with(&format!(".{name}")),
+/// Matches a request against one pattern without the router's code.
+fn reference_matches(pattern: &RoutePattern, request: &RequestView, field: Option<&str>) -> bool {
+    let host_matches = match &pattern.host {
+        HostPattern::Exact(name) => request.host == *name,
+        HostPattern::Subdomains(name) => request.host.ends_with(&format!(".{name}")),
         HostPattern::Any => true,
     };
-    let fixed = pattern.path.segments.len();
-    let length =
-        if pattern.path.is_prefix { seen.segments.len() > fixed } else { seen.segments.len() == fixed };
-    host && length
-        && (pattern.methods.is_empty() || pattern.methods.iter().any(|method| method == seen.method))
+    let (pattern_len, path_len) = (pattern.path.segments.len(), request.segments.len());
+    let length_matches =
+        if pattern.path.is_prefix { path_len > pattern_len } else { path_len == pattern_len };
+    host_matches
+        && length_matches
+        && (pattern.methods.is_empty() || pattern.methods.iter().any(|method| method == request.method))
         && pattern.headers.iter().all(|(_, value)| field == Some(value))
-        && pattern.path.segments.iter().zip(&seen.segments).all(|(segment, text)| match segment {
+        && pattern.path.segments.iter().zip(&request.segments).all(|(segment, text)| match segment {
             SegmentPattern::Literal(literal) => literal == text,
             SegmentPattern::Parameter(_) => !text.is_empty(),
         })
 }
 
-/// The smaller, the more specific.
+/// Returns a sort key that is smaller for a more specific pattern.
 fn specificity_rank(pattern: &RoutePattern) -> (usize, Vec<u8>, usize, bool) {
     let host = match &pattern.host {
         HostPattern::Exact(_) => 0,
         HostPattern::Subdomains(name) => 1000 - name.len(),
         HostPattern::Any => 1000,
     };
-    let kind = |segment: &SegmentPattern| if matches!(segment, SegmentPattern::Literal(_)) { 0 } else { 1 };
-    let mut path: Vec<u8> = pattern.path.segments.iter().map(kind).collect();
+    let rank = |segment: &SegmentPattern| if matches!(segment, SegmentPattern::Literal(_)) { 0 } else { 1 };
+    let mut path: Vec<u8> = pattern.path.segments.iter().map(rank).collect();
     if pattern.path.is_prefix {
         path.push(2);
     }
@@ -281,12 +283,12 @@
 }
 
 #[test]
-fn router_agrees_with_reference_matcher_on_random_sets() {
+fn router_agrees_with_reference_matcher_on_random_patterns() {
     let mut rng = Pcg::new(11);
-    let mut below = |most: u32| ((u64::from(rng.next_u32()) * u64::from(most)) >> 32) as usize;
+    let mut below = |bound: u32| ((u64::from(rng.next_u32()) * u64::from(bound)) >> 32) as usize;
     let words = ["a", "b", "c", ""];
     let hosts = ["h.x", "x", "g.h.x", "y"];
-    let mut found_any = 0;
+    let mut matched_requests = 0;
     for _ in 0..100_000 {
         let mut patterns: Vec<RoutePattern> = Vec::new();
         for _ in 0..1 + below(16) {
@@ -304,12 +306,12 @@
             let methods = [vec![], vec!["GET".to_string()], vec!["GET".to_string(), "POST".to_string()]]
                 [below(3)]
             .clone();
-            let fields = if below(4) == 0 {
+            let headers = if below(4) == 0 {
                 vec![("k".to_string(), ["1", "2"][below(2)].to_string())]
             } else {
                 vec![]
             };
-            let pattern = RoutePattern { host, path, methods, headers: fields };
+            let pattern = RoutePattern { host, path, methods, headers };
             if !patterns.iter().any(|known| known.is_ambiguous_with(&pattern)) {
                 patterns.push(pattern);
             }
@@ -318,17 +320,17 @@
         for _ in 0..2 {
             let count = 1 + below(4);
             let path: Vec<&str> =
-                (0..count).map(|place| words[below(if place + 1 == count { 4 } else { 3 })]).collect();
+                (0..count).map(|index| words[below(if index + 1 == count { 4 } else { 3 })]).collect();
             let target = format!("/{}", path.join("/"));
-            let seen =
+            let request =
                 RequestView::new(["GET", "POST", "PUT"][below(3)], &target, Some(hosts[below(4)])).unwrap();
             let field = [None, Some("1"), Some("2")][below(3)];
-            let slow = (0..patterns.len())
-                .filter(|&place| reference_matches(&patterns[place], &seen, field))
-                .min_by_key(|&place| specificity_rank(&patterns[place]));
-            assert_eq!(router.find(&seen, |_| field), slow, "{seen:?} among {patterns:?}");
-            found_any += usize::from(slow.is_some());
+            let expected = (0..patterns.len())
+                .filter(|&index| reference_matches(&patterns[index], &request, field))
+                .min_by_key(|&index| specificity_rank(&patterns[index]));
+            assert_eq!(router.find(&request, |_| field), expected, "{request:?} among {patterns:?}");
+            matched_requests += usize::from(expected.is_some());
         }
     }
-    assert!(found_any > 30_000, "only {found_any} requests were taken by any route");
+    assert!(matched_requests > 30_000, "only {matched_requests} requests matched any route");
 }
