--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,5 +1,5 @@
-//! Turns the text of a sidecar's file into a configuration, or into all findings that prevent it. A file that
-//! could repeat a non-idempotent request is rejected here.
+//! Parses and checks the text of a sidecar's file, and returns all findings together with the configuration
+//! if there is no error. A file with which a non-idempotent request could be retried is rejected.
 
 mod classes;
 mod compare;
@@ -23,20 +23,20 @@
 use known_hosts::KnownHosts;
 
 const DEFAULT_NAME: &str = "sidecar";
-/// The only value of the field `unrouted`.
+/// Holds the only valid value of the field `unrouted`.
 const NOT_FOUND: &str = "not-found";
-/// A quota that nobody reaches, in requests a second.
+/// Replaces a missing quota by one that no tenant reaches, in requests per second.
 const UNLIMITED_QUOTA: f64 = 1e9;
 
-/// The result of a check.
+/// Holds the result of a check.
 pub struct CheckedSidecarConfig {
-    /// None where any finding is an error.
+    /// Holds the configuration, or `None` if any finding is an error.
     pub config: Option<SidecarConfig>,
-    /// In the order of the file.
+    /// Lists the findings in the order of the file.
     pub findings: Vec<Finding>,
 }
 
-/// What routes refer to.
+/// Holds the sections that routes refer to.
 struct Declarations {
     known_hosts: KnownHosts,
     classes: Vec<RequestClass>,
@@ -44,15 +44,15 @@
     tenants: Vec<Tenant>,
 }
 
-/// A route with its patterns and its position.
+/// Holds a route with its patterns and its position.
 struct ParsedRoute {
     route: Route,
     patterns: Vec<RoutePattern>,
     span: Range<usize>,
 }
 
-/// Checks the text of a file. The endpoint list, where one is given, holds every name that there is, beside
-/// those that the file lists itself.
+/// Parses and checks the text of a sidecar's file. If an endpoint list is given, servers and hosts must have
+/// names from the list or from the file's `roster`.
 pub fn check(text: &str, endpoint_list: Option<&[String]>) -> CheckedSidecarConfig {
     let mut findings = Findings::default();
     let config = parse(text, &mut findings).map(|table| {
@@ -63,7 +63,7 @@
     CheckedSidecarConfig { config, findings: findings.into_sorted() }
 }
 
-/// The file as a table; none, and a finding, where it is no TOML.
+/// Parses the file as a table. Otherwise adds a finding and returns `None`.
 pub(crate) fn parse<'a>(text: &'a str, findings: &mut Findings) -> Option<Spanned<DeTable<'a>>> {
     let error = match DeTable::parse(text) {
         Ok(table) => return Some(table),
@@ -73,15 +73,15 @@
     let message = error.message().lines().next().unwrap_or_default();
     if message.contains("duplicate") {
         let name = text.get(span.clone()).unwrap_or_default();
-        findings.error(Code::DuplicateName, span, format!("{name} stands twice; one of them has to go"));
+        findings.error(Code::DuplicateName, span, format!("{name} is defined twice; remove one of them"));
     } else {
-        findings.error(Code::NotToml, span, format!("this is no TOML: {message}"));
+        findings.error(Code::NotToml, span, format!("the file is not valid TOML: {message}"));
     }
     None
 }
 
-/// The sections depend on each other: classes on limits, pools on listeners, and routes on classes, pools and
-/// tenants.
+/// Reads the sections in the order in which they depend on each other: classes need the limits, pools the
+/// listeners, and routes the classes, pools and tenants.
 fn read_file(
     mut file: TableReader,
     endpoint_list: Option<&[String]>,
@@ -116,15 +116,20 @@
     tenants
 }
 
-/// Requests that no route matches have to be meant.
+/// Checks that requests are only left without a route if the file says so.
 fn check_unrouted(file: &mut TableReader, routes: &[ParsedRoute], findings: &mut Findings) {
     match file.string("unrouted", findings) {
         Some(unrouted) if unrouted.value != NOT_FOUND => {
-            let message = "unrouted can only be \"not-found\", which answers 404; a route with path \"/**\" takes all else";
+            let message = format!(
+                "unrouted must be {NOT_FOUND:?}, which answers with 404, not {:?}; to route all other \
+                requests, add a route with path \"/**\"",
+                unrouted.value
+            );
             findings.error(Code::OutOfBounds, unrouted.span, message);
         }
         None if !file.has("unrouted") && !compare::has_catch_all(routes) => {
-            let message = "some requests are taken by no route; add one with path \"/**\" and no methods or hosts, or say unrouted = \"not-found\"";
+            let message = "some requests match no route; add a route with path \"/**\" and no methods, hosts \
+                or fields, or set unrouted = \"not-found\"";
             let last_span = routes.last().map_or(0..0, |route| route.span.clone());
             findings.error(Code::RouteMissing, last_span, message);
         }
--- a/crates/config/src/check/classes.rs
+++ b/crates/config/src/check/classes.rs
@@ -1,4 +1,4 @@
-//! Request classes: whether their requests may be repeated, and how long they may take.
+//! Reads the request classes: whether their requests can be retried, and how long they can take.
 
 use std::time::Duration;
 
@@ -7,20 +7,21 @@
 use crate::table::{Findings, Located, NamedValue, TableReader};
 
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(10);
-/// The latency objective of a class that sets none, relative to its timeout.
+/// Sets the default latency objective of a class, relative to its timeout.
 const DEFAULT_OBJECTIVE_RATIO: f64 = 0.5;
 const DEFAULT_PRIORITY_WEIGHT: f64 = 1.0;
 
-/// The fields of a class about repeats, as written.
+/// Holds the fields of a class that concern retries, as written.
 struct RepeatFields {
     repeats: Option<Located<String>>,
     scope: Option<Located<String>>,
-    /// Also where its value is invalid.
+    /// Whether the field is present, even if its value is invalid.
     has_window: bool,
     window: Option<Located<Duration>>,
 }
 
-/// Reads the classes, by name. They depend on the limits, since a retry needs time for a new connection.
+/// Reads the classes, sorted by name. They depend on the limits, since a retry needs time for a new
+/// connection.
 pub fn read_classes(
     file: &mut TableReader,
     limits: &ResourceLimits,
@@ -60,13 +61,14 @@
 fn check_times(class: &RequestClass, table: &TableReader, limits: &ResourceLimits, findings: &mut Findings) {
     let RequestClass { name, timeout, latency_objective, .. } = class;
     if timeout < latency_objective {
-        let message =
-            format!("category {name:?} ends after {timeout:?}, before its target of {latency_objective:?}");
+        let message = format!(
+            "ttl of category {name:?} is {timeout:?}, shorter than its target of {latency_objective:?}"
+        );
         findings.error(Code::TtlUnderTarget, table.span_of("ttl"), message);
     }
     if limits.connect_timeout > *timeout {
         let message = format!(
-            "a connection may take {:?} to come up, longer than the ttl of category {name:?}, {timeout:?}",
+            "ttl of category {name:?} is {timeout:?}, shorter than connect of limits, {:?}",
             limits.connect_timeout
         );
         findings.error(Code::BudgetOverTtl, table.span_of("ttl"), message);
@@ -89,15 +91,17 @@
         Some("never") | None => Idempotency::NonIdempotent,
         Some(other) => {
             let hint = nearest_name_hint(other, ["always", "never", "deduplicated"]);
-            let message =
-                format!("repeats can be \"always\", \"never\" or \"deduplicated\", not {other:?}{hint}");
+            let message = format!(
+                "repeats of {} must be \"always\", \"never\" or \"deduplicated\", not {other:?}{hint}",
+                table.description
+            );
             findings.error(Code::OutOfBounds, table.span_of("repeats"), message);
             Idempotency::NonIdempotent
         }
     };
     if fields.has_window && !matches!(idempotency, Idempotency::Deduplicated(..)) {
         let message = format!(
-            "category {:?} has a window, but is not deduplicated: no repeat would keep to it",
+            "category {:?} has a window, which only applies with repeats = \"deduplicated\"",
             name.value
         );
         findings.error(Code::RepeatOutsideWindow, table.span_of("window"), message);
@@ -112,7 +116,10 @@
         Some("cell") => DedupScope::Cell,
         Some(other) => {
             let hint = nearest_name_hint(other, ["all", "zone", "cell"]);
-            let message = format!("group can be \"all\", \"zone\" or \"cell\", not {other:?}{hint}");
+            let message = format!(
+                "group of {} must be \"all\", \"zone\" or \"cell\", not {other:?}{hint}",
+                table.description
+            );
             findings.error(Code::OutOfBounds, table.span_of("group"), message);
             DedupScope::All
         }
@@ -129,14 +136,14 @@
     let window = fields.window.as_ref().map_or(Duration::ZERO, |window| window.value);
     if !fields.has_window {
         let message = format!(
-            "category {:?} is deduplicated, so it needs a window: how long servers drop repeats",
+            "category {:?} is deduplicated but has no window, the time in which servers drop duplicates",
             name.value
         );
         findings.error(Code::RepeatOutsideWindow, name.span.clone(), message);
     } else if window <= limits.connect_timeout {
         let message = format!(
-            "no repeat fits into a window of {window:?}, since a connection may take {:?} to come up",
-            limits.connect_timeout
+            "window of category {:?} is {window:?}, too short for a retry, since connect of limits is {:?}",
+            name.value, limits.connect_timeout
         );
         findings.error(Code::RepeatOutsideWindow, table.span_of("window"), message);
     }
--- a/crates/config/src/check/compare.rs
+++ b/crates/config/src/check/compare.rs
@@ -1,4 +1,4 @@
-//! Compares routes with each other: names, ambiguous patterns, and routes that can't win.
+//! Compares routes with each other: finds duplicate names, ambiguous patterns, and routes that never match.
 
 use std::collections::BTreeMap;
 
@@ -9,16 +9,16 @@
 use crate::finding::Code;
 use crate::table::Findings;
 
-/// A pattern with the index of its route.
+/// Pairs a pattern with the index of its route.
 struct IndexedPattern<'a> {
     route: usize,
     pattern: &'a RoutePattern,
 }
 
-/// A host, and a path without the names of its parameters.
+/// Holds a host and a path without the names of its parameters.
 type Shape = (HostPattern, String);
 
-/// Adds the findings that concern two routes or more.
+/// Adds the findings that concern two or more routes.
 pub fn compare_routes(routes: &[ParsedRoute], findings: &mut Findings) {
     check_names(routes, findings);
     let mut by_shape: BTreeMap<Shape, Vec<IndexedPattern>> = BTreeMap::new();
@@ -36,7 +36,7 @@
     }
 }
 
-/// Whether a route matches every request.
+/// Returns whether one of the routes matches every request.
 pub fn has_catch_all(routes: &[ParsedRoute]) -> bool {
     let is_catch_all = |pattern: &RoutePattern| {
         let RoutePattern { host, path, methods, headers } = pattern;
@@ -46,7 +46,8 @@
     routes.iter().flat_map(|route| &route.patterns).any(is_catch_all)
 }
 
-/// A path with the names of its parameters left out: two that differ only in these match the same requests.
+/// Returns the text of a path without the names of its parameters. Two paths that differ only in these match
+/// the same requests.
 pub fn path_shape(path: &PathPattern) -> String {
     let segment_shape = |segment: &SegmentPattern| match segment {
         SegmentPattern::Literal(text) => format!("/{text}"),
@@ -56,7 +57,7 @@
     if path.is_prefix { shape + "/**" } else { shape }
 }
 
-/// Names that were derived from a path may be equal.
+/// Checks that no two routes have the same name. Names that were derived from a path may be equal.
 fn check_names(routes: &[ParsedRoute], findings: &mut Findings) {
     let mut names: BTreeMap<&str, usize> = BTreeMap::new();
     for (index, parsed) in routes.iter().enumerate() {
@@ -79,7 +80,7 @@
     let ambiguous = earlier.iter().find(|known| known.pattern.is_ambiguous_with(pattern.pattern));
     if let Some(known) = ambiguous {
         let message = format!(
-            "routes {} and {} take the same requests, and neither is more specific",
+            "routes {} and {} match the same requests, and neither is more specific",
             known.route + 1,
             pattern.route + 1
         );
@@ -87,7 +88,8 @@
     }
 }
 
-/// A pattern without methods gets nothing where others of the same shape name every method.
+/// Checks that a pattern without methods can match: it never does if others of the same shape name every
+/// method.
 fn check_shadowing(
     pattern: &IndexedPattern,
     patterns: &[IndexedPattern],
@@ -98,10 +100,10 @@
         return;
     }
     let others = patterns.iter().filter(|other| other.pattern.headers == pattern.pattern.headers);
-    let taken: Vec<&String> = others.flat_map(|other| &other.pattern.methods).collect();
-    if METHODS.iter().all(|method| taken.iter().any(|known| known == method)) {
+    let named_methods: Vec<&String> = others.flat_map(|other| &other.pattern.methods).collect();
+    if METHODS.iter().all(|method| named_methods.iter().any(|known| known == method)) {
         let message =
-            format!("route {} can't win: others with the same path name every method", pattern.route + 1);
+            format!("route {} never matches: others with the same path name every method", pattern.route + 1);
         findings.error(Code::RouteShadowed, routes[pattern.route].span.clone(), message);
     }
 }
--- a/crates/config/src/check/key_ranges.rs
+++ b/crates/config/src/check/key_ranges.rs
@@ -1,15 +1,15 @@
-//! Ranges of the hashed key space: every key has to have exactly one owner.
+//! Reads the ranges of key slots, and checks that every key has exactly one owner.
 
 use crate::finding::{Code, nearest_name_hint};
 use crate::sidecar::{EndpointSource, KeyRange};
 use crate::table::{Findings, Located, TableReader, TomlValue};
 use crate::units::{self, RangeEnd};
 
-/// The endpoint kinds of a pool; none where discovery decides, and any kind may come.
+/// Holds the endpoint kinds of a pool, or `None` if its endpoints come from discovery and can be of any kind.
 pub struct EndpointKinds(Option<Vec<String>>);
 
 impl EndpointKinds {
-    /// The kinds of a source.
+    /// Returns the kinds of a source.
     pub fn of_source(source: &EndpointSource) -> EndpointKinds {
         EndpointKinds(match source {
             EndpointSource::Static(endpoints) => {
@@ -19,12 +19,12 @@
         })
     }
 
-    /// Whether endpoints of this kind exist, or may.
+    /// Returns whether endpoints of this kind exist or can exist.
     pub fn contains(&self, kind: &str) -> bool {
         self.0.as_ref().is_none_or(|kinds| kinds.iter().any(|known| known == kind))
     }
 
-    /// The end of a message that names the nearest kind.
+    /// Returns the end of a message that suggests the nearest kind.
     pub fn hint(&self, kind: &str) -> String {
         nearest_name_hint(kind, self.0.iter().flatten().map(String::as_str))
     }
@@ -34,7 +34,7 @@
 pub struct KeyRangeReader<'p> {
     pub pool: &'p str,
     pub kinds: EndpointKinds,
-    /// Whether keys that no range owns go to a default kind.
+    /// Whether a default kind owns the keys that no range owns.
     pub has_default: bool,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl KeyRangeReader<'_> {
-    /// Reads the ranges, in the order of their keys.
+    /// Reads the ranges, which must be sorted by their slots.
     pub fn read(&self, table: &mut TableReader, findings: &mut Findings) -> Vec<KeyRange> {
         let mut ranges: Vec<KeyRange> = Vec::new();
         let mut last_span = 0..0;
@@ -67,8 +67,10 @@
             && range.last < u64::MAX
             && !self.has_default
         {
-            let message =
-                format!("no group owns the keys above {:016x}; set default, or end at ffff", range.last);
+            let message = format!(
+                "pool {:?} has no owner for keys above {:016x}; set default, or end the last range at ffff",
+                self.pool, range.last
+            );
             findings.error(Code::RangeWithoutGroup, last_span, message);
         }
         ranges
@@ -89,14 +91,13 @@
             return;
         }
         let hint = self.kinds.hint(&kind.value);
-        let message = format!(
-            "no server of pool {:?} is of the kind {:?}, so this range of keys has no group{hint}",
-            self.pool, kind.value
-        );
+        let message =
+            format!("kind {:?} of this range has no server in pool {:?}{hint}", kind.value, self.pool);
         findings.error(Code::RangeWithoutGroup, kind.span.clone(), message);
     }
 
-    /// A range out of order is left out, so that those behind it are compared with the one before.
+    /// Checks a range against the one before it. The caller skips a range that is out of order, so that the
+    /// next one is compared with the last valid range.
     fn check_order(
         &self,
         range: &ParsedRange,
@@ -105,18 +106,21 @@
     ) -> Result<(), OutOfOrder> {
         let first = &range.first;
         if range.last.value < first.value {
-            findings.error(Code::RangeOrder, range.last.span.clone(), "this range ends before it begins");
+            findings.error(
+                Code::RangeOrder,
+                range.last.span.clone(),
+                "this range ends before it starts: to must not be lower than from",
+            );
             return Err(OutOfOrder);
         }
         let Some(before) = before else { return Ok(()) };
         if first.value < before.first {
-            let message =
-                "ranges have to stand in the order of their keys; this one begins before the one above it";
+            let message = "ranges must be sorted by their keys; this one starts before the one above it";
             findings.error(Code::RangeOrder, first.span.clone(), message);
             return Err(OutOfOrder);
         }
         if first.value <= before.last {
-            let message = "this range begins within the one above it; ends are inclusive";
+            let message = "this range overlaps the one above it; to is inclusive";
             findings.error(Code::RangeOverlap, first.span.clone(), message);
             return Err(OutOfOrder);
         }
@@ -130,19 +134,20 @@
         }
         let message = match before {
             Some(before) if first.value - before.last > 1 => format!(
-                "no group owns the keys between {:016x} and {:016x}; set default, or close the gap",
-                before.last, first.value
+                "pool {:?} has no owner for keys between {:016x} and {:016x}; set default, or close the gap",
+                self.pool, before.last, first.value
+            ),
+            None if first.value > 0 => format!(
+                "pool {:?} has no owner for keys below {:016x}; set default, or start the first range at 0",
+                self.pool, first.value
             ),
-            None if first.value > 0 => {
-                format!("no group owns the keys below {:016x}; set default, or begin at 0", first.value)
-            }
             _ => return,
         };
         findings.error(Code::RangeWithoutGroup, first.span.clone(), message);
     }
 }
 
-/// A range that overlaps or precedes the one before, which is a finding already.
+/// Marks a range that is reversed, or overlaps or precedes the one before. The finding has been added.
 struct OutOfOrder;
 
 fn read_slot(
@@ -155,7 +160,8 @@
     match units::parse_key_slot(&text.value, end) {
         Ok(value) => Some(Located { value, span: text.span }),
         Err(error) => {
-            findings.error(Code::BadUnit, text.span, error.to_string());
+            let message = format!("{name} of {}: {error}", table.description);
+            findings.error(Code::BadUnit, text.span, message);
             None
         }
     }
--- a/crates/config/src/check/known_hosts.rs
+++ b/crates/config/src/check/known_hosts.rs
@@ -1,13 +1,13 @@
-//! The names that endpoints and the hosts of routes may have, where they are restricted.
+//! Checks the names of endpoints and the hosts of routes against the known names.
 
-use crate::finding::{Code, nearest_name};
+use crate::finding::{Code, nearest_name_hint};
 use crate::table::{Findings, Located, TableReader};
 
-/// None where every name is valid.
+/// Holds the known names, or `None` if every name is valid.
 pub struct KnownHosts(Option<Vec<String>>);
 
 impl KnownHosts {
-    /// The names of an endpoint list, and those of the file's own field.
+    /// Collects the names of the endpoint list and those of the file's field `roster`.
     pub fn read(
         file: &mut TableReader,
         endpoint_list: Option<&[String]>,
@@ -23,14 +23,13 @@
         KnownHosts(names)
     }
 
-    /// Adds a finding where the name is not among the known ones.
+    /// Adds a finding if the name is not a known one.
     pub fn check(&self, name: &Located<String>, what: &str, findings: &mut Findings) {
         let Some(names) = &self.0 else { return };
         if names.contains(&name.value) {
             return;
         }
-        let nearest = nearest_name(&name.value, names.iter().map(String::as_str));
-        let hint = nearest.map_or(String::new(), |nearest| format!("; is {nearest:?} meant?"));
+        let hint = nearest_name_hint(&name.value, names.iter().map(String::as_str));
         let message = format!("{what} {:?} is not in the roster{hint}", name.value);
         findings.error(Code::UnknownHost, name.span.clone(), message);
     }
--- a/crates/config/src/check/limits.rs
+++ b/crates/config/src/check/limits.rs
@@ -1,4 +1,4 @@
-//! What a sidecar may use.
+//! Reads the resource limits of a sidecar.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// Reads the limits, with defaults for what is missing.
+/// Reads the limits, with defaults for missing fields.
 pub fn read_limits(file: &mut TableReader, findings: &mut Findings) -> ResourceLimits {
     let limits = default_limits();
     let Some(value) = file.get("limits") else { return limits };
@@ -54,7 +54,7 @@
         keepalive_timeout: keepalive.map_or(defaults.keepalive_timeout, |time| time.value),
     };
     if limits.max_buffered_bytes > limits.max_body_bytes {
-        let message = "limits hold more of a body than they take: held has to be at most body";
+        let message = "held of limits must be at most body, the largest request body that is accepted";
         findings.error(Code::OutOfBounds, table.span_of("held"), message);
     }
     table.reject_unknown_fields(findings);
--- a/crates/config/src/check/listeners.rs
+++ b/crates/config/src/check/listeners.rs
@@ -1,4 +1,4 @@
-//! Where a sidecar listens.
+//! Reads the addresses on which a sidecar listens.
 
 use std::net::SocketAddr;
 
@@ -13,14 +13,17 @@
         let Some(mut table) = TableReader::from_value("listen", value, findings) else { continue };
         let Some(listener) = read_listener(&mut table, findings) else { continue };
         if listeners.iter().any(|known| overlaps(known, &listener.value)) {
-            let message = "two listeners want the same address; one of them has to go";
+            let message = format!(
+                "{} conflicts with the address of another listener; remove one of them",
+                listener.value.describe()
+            );
             findings.error(Code::ListenConflict, listener.span, message);
         }
         table.reject_unknown_fields(findings);
         listeners.push(listener.value);
     }
     if listeners.is_empty() && !file.has("listen") {
-        let message = "the file needs a [[listen]]: nobody could reach the sidecar";
+        let message = "the file has no [[listen]] section, so no client could reach the sidecar";
         findings.error(Code::MissingField, 0..0, message);
     }
     listeners
@@ -35,7 +38,8 @@
         (Some(address), None) => {
             if !address.ip().is_loopback() && !may_be_remote {
                 let message = format!(
-                    "{address} can be reached from other machines; say allow_not_loopback = true if that is meant"
+                    "{address} can be reached from other machines; set allow_not_loopback = true if this is \
+                    intended"
                 );
                 findings.warning(Code::ListenNotLoopback, span.clone(), message);
             }
@@ -45,20 +49,24 @@
             Some(Located { value: ListenAddress::Unix(path.value.into()), span })
         }
         (None, Some(path)) => {
-            findings.error(Code::BadAddress, path.span, "unix has to be a path that begins with /");
+            findings.error(
+                Code::BadAddress,
+                path.span,
+                "unix of listen must be an absolute path, one that begins with /",
+            );
             None
         }
-        // The address is there, but invalid, which is a finding already.
+        // The address is present but invalid, for which read_address has added a finding.
         (None, None) if table.has("address") => None,
         _ => {
-            let message = "listen needs either an address or unix";
+            let message = "listen must have either address or unix";
             findings.error(Code::MissingField, table.span.clone(), message);
             None
         }
     }
 }
 
-/// Port 0 stands for any free port.
+/// Returns whether two listeners use the same address. Port 0 stands for any free port and never conflicts.
 fn overlaps(one: &ListenAddress, other: &ListenAddress) -> bool {
     match (one, other) {
         (ListenAddress::Tcp(one), ListenAddress::Tcp(other)) => {
@@ -70,7 +78,8 @@
     }
 }
 
-/// An IP address and a port; none where the field is missing or, with a finding, invalid.
+/// Reads an IP address and a port. Returns `None` if the field is missing or invalid; an invalid one adds a
+/// finding.
 pub fn read_address(
     table: &mut TableReader,
     name: &'static str,
@@ -80,7 +89,8 @@
     let address = text.value.parse().ok();
     if address.is_none() {
         let message = format!(
-            "{name} of {} has to be an address and a port, such as \"127.0.0.1:5001\", not {:?}; names are not looked up",
+            "{name} of {} must be an IP address and a port, such as \"127.0.0.1:5001\", not {:?}; host names \
+            are not resolved",
             table.description, text.value
         );
         findings.error(Code::BadAddress, text.span, message);
--- a/crates/config/src/check/pools.rs
+++ b/crates/config/src/check/pools.rs
@@ -1,4 +1,4 @@
-//! Pools: their endpoints, and which endpoint kind owns which keys.
+//! Reads the pools: their endpoints, and which endpoint kind owns which keys.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -11,7 +11,7 @@
 
 const DEFAULT_KIND: &str = "k";
 
-/// Reads the pools, by name. They depend on the listeners, since a sidecar must not send to itself.
+/// Reads the pools, sorted by name. They depend on the listeners, since a sidecar must not send to itself.
 pub fn read_pools(
     file: &mut TableReader,
     listeners: &[ListenAddress],
@@ -23,13 +23,13 @@
     entries.filter_map(|entry| reader.read_pool(entry, findings)).collect()
 }
 
-/// What pools are checked against.
+/// Reads pools, and holds what they are checked against.
 struct PoolReader<'c> {
     listeners: &'c [ListenAddress],
     known_hosts: &'c KnownHosts,
 }
 
-/// An endpoint with the positions of its name and its address.
+/// Holds an endpoint with the positions of its name and its address.
 struct ParsedEndpoint {
     endpoint: StaticEndpoint,
     name: Located<String>,
@@ -57,7 +57,8 @@
             && !kinds.contains(&kind.value)
         {
             let hint = kinds.hint(&kind.value);
-            let message = format!("no server of pool {:?} is of the kind {:?}{hint}", pool.value, kind.value);
+            let message =
+                format!("default kind {:?} has no server in pool {:?}{hint}", kind.value, pool.value);
             findings.error(Code::RangeWithoutGroup, kind.span.clone(), message);
         }
         let reader = KeyRangeReader { pool: &pool.value, kinds, has_default: default_kind.is_some() };
@@ -76,7 +77,7 @@
         let mut endpoints: Vec<StaticEndpoint> = Vec::new();
         for value in table.array("servers", findings) {
             let Some(parsed) = read_endpoint(pool, value, findings) else { continue };
-            self.known_hosts.check(&parsed.name, "the server", findings);
+            self.known_hosts.check(&parsed.name, "server", findings);
             check_duplicates(pool, &parsed, &endpoints, findings);
             self.check_loop(&parsed.address, findings);
             endpoints.push(parsed.endpoint);
@@ -84,11 +85,12 @@
         endpoints
     }
 
-    /// A sidecar that sent to itself would do so forever.
+    /// Adds a finding if the address is one of the sidecar's own, where it would forward requests to itself
+    /// endlessly.
     fn check_loop(&self, address: &Located<SocketAddr>, findings: &mut Findings) {
         let Located { value, span } = address;
         if self.listeners.iter().any(|listener| is_reached_at(listener, *value)) {
-            let message = format!("{value} is where this sidecar itself listens");
+            let message = format!("{value} is an address on which this sidecar itself listens");
             findings.error(Code::LoopToSelf, span.clone(), message);
         }
     }
@@ -105,7 +107,7 @@
     let name = table.required_string("name", findings);
     let address = read_address(&mut table, "address", findings);
     if address.is_none() && !table.has("address") {
-        let message = format!("{} needs the field address", table.description);
+        let message = format!("{} is missing the required field address", table.description);
         findings.error(Code::MissingField, table.span.clone(), message);
     }
     let zone = table.string("zone", findings).map(|zone| zone.value);
@@ -139,7 +141,7 @@
     }
 }
 
-/// A pool has to have exactly one source. An invalid discovery address is a finding already.
+/// Checks that a pool has exactly one source. An invalid discovery address has already added a finding.
 fn check_source(
     pool: &Located<String>,
     source: &EndpointSource,
@@ -148,8 +150,7 @@
 ) {
     let has_discovery = table.has("discovery");
     if has_discovery && table.has("servers") {
-        let message =
-            format!("pool {:?} has both servers and a discovery; one of them has to go", pool.value);
+        let message = format!("pool {:?} has both servers and discovery; remove one of them", pool.value);
         findings.error(Code::DuplicateName, table.span_of("discovery"), message);
     }
     if let EndpointSource::Static(endpoints) = source
@@ -157,7 +158,7 @@
         && !has_discovery
     {
         let message =
-            format!("pool {:?} has no servers and no discovery, so nothing could be sent there", pool.value);
+            format!("pool {:?} has neither servers nor discovery, so it has no endpoints", pool.value);
         findings.error(Code::EmptyPool, pool.span.clone(), message);
     }
 }
--- a/crates/config/src/check/routes.rs
+++ b/crates/config/src/check/routes.rs
@@ -1,4 +1,5 @@
-//! Routes: which requests they match, what they take from them, and whether these may be repeated.
+//! Reads the routes: which requests they match, which values they take from a request, and whether it can be
+//! retried.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -14,15 +15,15 @@
 };
 use crate::table::{Findings, Located, TableReader, TomlValue};
 
-/// Methods that RFC 9110 calls safe: a client asks for nothing to be changed.
+/// Lists the methods that RFC 9110 defines as safe: a client does not request a change with them.
 const SAFE_METHODS: [&str; 4] = ["GET", "HEAD", "OPTIONS", "TRACE"];
-/// Methods that a route may name.
+/// Lists the methods that a route can name.
 pub const METHODS: [&str; 8] = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS", "TRACE"];
 const VALUE_SOURCES: [&str; 5] = ["header", "cookie", "query", "path", "fixed"];
-/// A shorter text, in bytes, is no reason for repeating unsafe methods.
+/// Sets the minimum length, in bytes, of the reason for retrying unsafe methods.
 const MIN_REASON_LENGTH: usize = 8;
 
-/// Reads the routes, in the order of the file. A route with an error that leaves it incomplete is left out.
+/// Reads the routes in the order of the file. A route that is incomplete because of an error is left out.
 pub fn read_routes(
     file: &mut TableReader,
     declarations: &Declarations,
@@ -37,7 +38,7 @@
     declarations: &'d Declarations,
 }
 
-/// The fields of a route, as written.
+/// Holds the fields of a route, as written.
 struct RouteFields {
     name: Option<Located<String>>,
     path: Option<PathPattern>,
@@ -46,7 +47,7 @@
     class: Option<Located<String>>,
     pool: Option<Located<String>>,
     unsafe_retry_reason: Option<Located<String>>,
-    /// Names in lower case, in order.
+    /// Lists the required header fields, sorted, with names in lower case.
     headers: Vec<(String, String)>,
     key: Option<ValueSource>,
     cost_estimate: Option<ValueSource>,
@@ -146,7 +147,7 @@
         }
     }
 
-    /// A tenant that the file itself fixes has to be declared.
+    /// Checks that a tenant with a fixed name is declared in the file.
     fn check_tenant(&self, tenant: Option<&ValueSource>, table: &TableReader, findings: &mut Findings) {
         let Some(ValueSource::Fixed(name)) = tenant else { return };
         let mut known = self.declarations.tenants.iter().map(|tenant| tenant.name.as_str());
@@ -154,11 +155,11 @@
             return;
         }
         let hint = nearest_name_hint(name, &mut known);
-        let message = format!("there is no tenant {name:?}{hint}");
+        let message = format!("tenant {name:?} is not declared{hint}");
         findings.error(Code::UnknownTenant, table.span_of("tenant"), message);
     }
 
-    /// Without hosts a route matches any.
+    /// Parses the hosts of a route. Without hosts, it matches any.
     fn read_hosts(&self, hosts: &[Located<String>], findings: &mut Findings) -> Vec<HostPattern> {
         if hosts.is_empty() {
             return vec![HostPattern::Any];
@@ -169,12 +170,12 @@
                 Ok(pattern) => {
                     if let HostPattern::Exact(name) = &pattern {
                         let name = Located { value: name.clone(), span: host.span.clone() };
-                        self.declarations.known_hosts.check(&name, "the host", findings);
+                        self.declarations.known_hosts.check(&name, "host", findings);
                     }
                     patterns.push(pattern);
                 }
                 Err(error) => {
-                    let message = format!("the host {:?} can't be read: {error}", host.value);
+                    let message = format!("host {:?} is invalid: {error}", host.value);
                     findings.error(Code::BadPattern, host.span.clone(), message);
                 }
             }
@@ -194,7 +195,7 @@
     let index = known.clone().position(|known| known == name.value);
     if index.is_none() {
         let hint = nearest_name_hint(&name.value, known);
-        findings.error(code, name.span, format!("there is no {what} {:?}{hint}", name.value));
+        findings.error(code, name.span, format!("{what} {:?} is not declared{hint}", name.value));
     }
     index
 }
@@ -205,7 +206,7 @@
         match entry.value.get_ref() {
             DeValue::String(text) => headers.push((entry.name.value.to_ascii_lowercase(), text.to_string())),
             _ => {
-                let message = "each of fields has to be a string: the value that a header field must have";
+                let message = "each value of fields must be a string, the required value of a header field";
                 findings.error(Code::WrongType, entry.name.span, message);
             }
         }
@@ -219,10 +220,10 @@
     match PathPattern::parse(&text) {
         Ok(pattern) => return Some(pattern),
         Err(error @ PatternError::Unreachable(_)) => {
-            findings.error(Code::RouteShadowed, span, format!("the path {text:?} can't win: {error}"));
+            findings.error(Code::RouteShadowed, span, format!("path {text:?} never matches: {error}"));
         }
         Err(error) => {
-            findings.error(Code::BadPattern, span, format!("the path {text:?} can't be read: {error}"));
+            findings.error(Code::BadPattern, span, format!("path {text:?} is invalid: {error}"));
         }
     }
     None
@@ -239,7 +240,8 @@
     let Some((kind, name)) = parts.filter(|(kind, name)| VALUE_SOURCES.contains(kind) && !name.is_empty())
     else {
         let message = format!(
-            "{field} has to be \"header:NAME\", \"cookie:NAME\", \"query:NAME\", \"path:NAME\" or \"fixed:VALUE\", not {value:?}"
+            "{field} must be \"header:NAME\", \"cookie:NAME\", \"query:NAME\", \"path:NAME\" or \
+            \"fixed:VALUE\", not {value:?}"
         );
         findings.error(Code::OutOfBounds, span, message);
         return None;
@@ -252,14 +254,18 @@
         _ => {
             let index = path.and_then(|path| path.parameter_index(name));
             if index.is_none() {
-                findings.error(Code::UnknownParameter, span, format!("the path has no {{{name}}}"));
+                findings.error(
+                    Code::UnknownParameter,
+                    span,
+                    format!("{field}: the path has no parameter {{{name}}}"),
+                );
             }
             index.map(ValueSource::PathSegment)
         }
     }
 }
 
-/// The valid methods, in order.
+/// Returns the valid methods, sorted, and adds a finding for each invalid one.
 fn read_methods(methods: &[Located<String>], findings: &mut Findings) -> Vec<String> {
     let mut valid = Vec::new();
     for method in methods {
@@ -268,14 +274,15 @@
             continue;
         }
         let hint = nearest_name_hint(&method.value.to_ascii_uppercase(), METHODS);
-        let message = format!("{:?} is no method that is routed{hint}", method.value);
+        let message = format!("method {:?} is not one of {}{hint}", method.value, METHODS.join(", "));
         findings.error(Code::BadPattern, method.span.clone(), message);
     }
     valid.sort();
     valid
 }
 
-/// A route of a class that may be repeated has to name safe methods only, or state why repeats do no harm.
+/// Checks that a route of a class that allows retries names only safe methods, or states why retries do no
+/// harm.
 fn check_unsafe_retries(
     fields: &RouteFields,
     methods: &[String],
@@ -284,18 +291,19 @@
 ) {
     let names_methods = !fields.methods.is_empty();
     let unsafe_method = methods.iter().find(|method| !SAFE_METHODS.contains(&method.as_str()));
-    let takes_unsafe_methods = !names_methods || unsafe_method.is_some();
+    let matches_unsafe_methods = !names_methods || unsafe_method.is_some();
     let reason = fields.unsafe_retry_reason.as_ref().map_or("", |reason| reason.value.trim());
     let is_allowed = class.idempotency == Idempotency::NonIdempotent || reason.len() >= MIN_REASON_LENGTH;
-    if is_allowed || !takes_unsafe_methods {
+    if is_allowed || !matches_unsafe_methods {
         return;
     }
     let what = match unsafe_method {
-        Some(method) => format!("takes {method}, which is not safe to repeat"),
-        None => "names no methods, so it takes POST and others that are not safe to repeat".to_string(),
+        Some(method) => format!("matches {method}, which is not a safe method"),
+        None => "names no methods, so it matches POST and other unsafe methods".to_string(),
     };
     let message = format!(
-        "this route {what}, but its category {:?} may run again ({}); name only safe methods, take a category that repeats never, or say in may_repeat_unsafe why it does no harm",
+        "this route {what}, but its category {:?} allows retries ({}); name only safe methods, choose a \
+        category with repeats = \"never\", or state in may_repeat_unsafe why a retry does no harm",
         class.name,
         class.idempotency.describe()
     );
@@ -304,8 +312,8 @@
     findings.error(Code::OrderRetriable, span.clone(), message);
 }
 
-/// Endpoints that don't state their zone or cell would all count as one scope, though each of them drops only
-/// the repeats of its own.
+/// Checks that static endpoints state the zone or cell within which they drop duplicates. Those without one
+/// would count as one scope, and retries would go to endpoints that do not drop them.
 fn check_dedup_scope(fields: &RouteFields, class: &RequestClass, pool: &Pool, findings: &mut Findings) {
     let Idempotency::Deduplicated(scope, _) = class.idempotency else { return };
     let EndpointSource::Static(endpoints) = &pool.source else { return };
@@ -317,7 +325,7 @@
     if let Some(endpoint) = endpoints.iter().find(lacks_scope) {
         let scope = scope.as_str();
         let message = format!(
-            "category {:?} repeats within a {scope}, but server {:?} does not say its {scope}",
+            "category {:?} is deduplicated per {scope}, but server {:?} has no {scope}",
             class.name, endpoint.name
         );
         findings.error(Code::MissingField, fields.spans.class.clone(), message);
@@ -328,7 +336,7 @@
     let Some(timeout) = &fields.timeout else { return };
     if timeout.value > class.timeout {
         let message = format!(
-            "this route gives {:?}, more than the {:?} of its category",
+            "ttl of this route is {:?}, longer than the {:?} of its category",
             timeout.value, class.timeout
         );
         findings.error(Code::BudgetOverTtl, timeout.span.clone(), message);
--- a/crates/config/src/explain.rs
+++ b/crates/config/src/explain.rs
@@ -1,5 +1,5 @@
-//! What a configuration makes of one request, and why the other routes don't match it. A running sidecar goes
-//! by [`SidecarConfig::match_request`] too, so the explanation can't differ from what it does.
+//! Finds the route of a request, and explains why the other routes do not match it. A running sidecar also
+//! calls [`SidecarConfig::match_request`], so an explanation cannot differ from what the sidecar does.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -9,39 +9,39 @@
 
 use crate::sidecar::{EndpointSource, ListenAddress, Pool, SidecarConfig, ValueSource};
 
-/// Of the routes that don't match, so many are shown.
+/// Limits how many routes that do not match are shown.
 const MAX_MISMATCHES_SHOWN: usize = 50;
 
-/// The route that matches a request, and the values that it takes from it.
+/// Holds the route that matches a request, and the values that it takes from the request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteMatch {
-    /// The index of the route.
+    /// Holds the index of the route.
     pub route: usize,
-    /// The index of its class.
+    /// Holds the index of its class.
     pub class: usize,
-    /// The index of its pool.
+    /// Holds the index of its pool.
     pub pool: usize,
-    /// The key, if there is one.
+    /// Holds the request's key, if it has one.
     pub key: Option<String>,
-    /// The cost estimate as the client wrote it, if there is one.
+    /// Holds the cost estimate as the client wrote it, if there is one.
     pub cost_estimate: Option<String>,
-    /// The tenant's name, if there is one.
+    /// Holds the tenant's name, if there is one.
     pub tenant: Option<String>,
-    /// How long the request may take.
+    /// Limits how long the request may take.
     pub timeout: Duration,
 }
 
-/// A route that doesn't match, with the reason.
+/// Pairs a route that does not match with the reason.
 struct RouteMismatch {
     route: usize,
     mismatch: Mismatch,
 }
 
 impl SidecarConfig {
-    /// The route that matches a request, if any. Header fields are asked for by their names in lower case.
+    /// Returns the route that matches a request, if any. `field` is called with names in lower case.
     ///
     /// # Errors
-    /// Where another spelling of the path belongs to a route that repeats less.
+    /// Returns an error if another spelling of the path matches a route that allows fewer retries.
     pub fn match_request<'a>(
         &self,
         request: &RequestView,
@@ -68,10 +68,11 @@
         }))
     }
 
-    /// An explanation for people. The slot of a key is its hash, by which ranges are looked up.
+    /// Explains in text how a request is routed. `key_slot` hashes a key to the slot that is looked up in the
+    /// ranges.
     ///
     /// # Errors
-    /// Where another spelling of the path belongs to a route that repeats less.
+    /// Returns an error if another spelling of the path matches a route that allows fewer retries.
     pub fn explain<'a>(
         &self,
         request: &RequestView,
@@ -81,16 +82,16 @@
         let matched = self.match_request(request, &field)?;
         let mut text = match &matched {
             Some(matched) => self.describe_match(matched, key_slot),
-            None => "route      none: answered 404\n".to_string(),
+            None => "route      none, answered with 404\n".to_string(),
         };
         let matched_route = matched.map(|matched| matched.route);
         let mismatches = self.mismatches(request, field, matched_route)?;
         // Writing to a String cannot fail.
         for RouteMismatch { route, mismatch } in mismatches.iter().take(MAX_MISMATCHES_SHOWN) {
-            let _ = writeln!(text, "not        {} ({}): {mismatch}", route + 1, self.routes[*route].name);
+            let _ = writeln!(text, "no match   {} ({}): {mismatch}", route + 1, self.routes[*route].name);
         }
         if mismatches.len() > MAX_MISMATCHES_SHOWN {
-            let _ = writeln!(text, "not        {} more", mismatches.len() - MAX_MISMATCHES_SHOWN);
+            let _ = writeln!(text, "no match   {} more routes", mismatches.len() - MAX_MISMATCHES_SHOWN);
         }
         Ok(text)
     }
@@ -105,33 +106,33 @@
         let _ = writeln!(text, "route      {} ({})", matched.route + 1, route.name);
         let _ = writeln!(text, "category   {}, repeats {}", class.name, class.idempotency.describe());
         if let Some(reason) = &route.unsafe_retry_reason {
-            let _ = writeln!(text, "repeats    an unsafe method, because: {reason}");
+            let _ = writeln!(text, "repeats    also unsafe methods, since: {reason}");
         }
         let _ = writeln!(text, "tenant     {}", matched.tenant.as_deref().unwrap_or("none"));
         let _ = match matched.key.as_deref().zip(slot) {
             Some((key, slot)) => writeln!(text, "key        {key:?}, slot {slot:016x}"),
             None => writeln!(text, "key        none"),
         };
-        let _ = writeln!(text, "group      {}", pool.describe_owner(slot));
+        let _ = writeln!(text, "kind       {}", pool.describe_owner(slot));
         let _ = writeln!(text, "pool       {}", pool.name);
         let _ = writeln!(text, "ttl        {:?}, target {:?}", matched.timeout, class.latency_objective);
         text
     }
 
-    /// One entry for each route and reason, in the order of the routes.
+    /// Lists why each other route does not match, in the order of the routes and each reason once per route.
     fn mismatches<'a>(
         &self,
         request: &RequestView,
         field: impl Fn(&str) -> Option<&'a str>,
         matched_route: Option<usize>,
     ) -> Result<Vec<RouteMismatch>, InvalidRequest> {
-        // Equal strictness everywhere, so that no spelling is ambiguous.
+        // With equal strictness for all patterns, no spelling is rejected as ambiguous.
         let winner = self.router.find_unambiguous(request, &field, |_| 0)?;
         let mut mismatches: Vec<RouteMismatch> = Vec::new();
         for pattern_mismatch in self.router.explain_mismatches(request, &field, winner) {
             let route = self.route_of_pattern[pattern_mismatch.pattern];
             let mismatch = pattern_mismatch.mismatch;
-            let is_listed = mismatches.iter().any(|of| of.route == route && of.mismatch == mismatch);
+            let is_listed = mismatches.iter().any(|known| known.route == route && known.mismatch == mismatch);
             if Some(route) != matched_route && !is_listed {
                 mismatches.push(RouteMismatch { route, mismatch });
             }
@@ -139,7 +140,7 @@
         Ok(mismatches)
     }
 
-    /// What a valid file holds, for people.
+    /// Summarizes the configuration in a few lines of text.
     pub fn summary(&self) -> String {
         let listeners: Vec<String> = self.listeners.iter().map(ListenAddress::describe).collect();
         let mut text = format!("{} listens on {}\n", self.name, listeners.join(", "));
@@ -150,7 +151,7 @@
                     writeln!(text, "pool {}: {} servers", pool.name, endpoints.len())
                 }
                 EndpointSource::Discovery(address) => {
-                    writeln!(text, "pool {}: listed at {address}", pool.name)
+                    writeln!(text, "pool {}: servers from discovery at {address}", pool.name)
                 }
             };
         }
@@ -163,18 +164,18 @@
 }
 
 impl Pool {
-    /// The endpoint kind that owns a slot, or how it is found.
+    /// Returns the endpoint kind that owns a slot, or says how the owner is determined.
     fn describe_owner(&self, slot: Option<u64>) -> &str {
         let owns =
             |slot: u64| self.key_ranges.iter().find(|range| (range.first..=range.last).contains(&slot));
         let owner = slot.and_then(owns).map(|range| range.kind.as_str());
-        let derived = if self.key_ranges.is_empty() { "by the derived table" } else { "default" };
+        let derived = if self.key_ranges.is_empty() { "from the derived route table" } else { "default" };
         owner.or(self.default_kind.as_deref()).unwrap_or(derived)
     }
 }
 
 impl ValueSource {
-    /// The value in a request; none where it is missing or empty.
+    /// Returns the value in a request, or `None` if it is missing or empty.
     fn value_of<'a>(&self, request: &RequestView, field: impl Fn(&str) -> Option<&'a str>) -> Option<String> {
         let value = match self {
             ValueSource::Header(name) => field(name)?,
@@ -187,7 +188,7 @@
     }
 }
 
-/// The value of a cookie among those that a client sent.
+/// Returns the value of the named cookie in a Cookie header field.
 fn cookie_value<'a>(cookies: &'a str, name: &str) -> Option<&'a str> {
     let pairs = cookies.split(';').filter_map(|pair| pair.split_once('='));
     let mut trimmed = pairs.map(|(known, value)| (known.trim(), value.trim()));
--- a/crates/config/src/finding.rs
+++ b/crates/config/src/finding.rs
@@ -1,5 +1,5 @@
-//! Findings: what is wrong with a file, each with a stable code, its position, and a message that says what
-//! would be right.
+//! Defines findings, the errors and warnings of a check. Each has a stable code, a position, and a message
+//! that says what is wrong and what is accepted.
 
 use std::fmt::Write;
 use std::ops::Range;
@@ -8,15 +8,15 @@
 
 macro_rules! codes {
     ($($code:ident $name:literal,)*) => {
-        /// The kind of a finding. Findings at the same position are sorted in this order.
+        /// Identifies the kind of a finding. Findings at the same position are sorted in this order.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
         pub enum Code { $(#[doc = concat!("`", $name, "`")] $code),* }
 
         impl Code {
-            /// All codes, in order.
+            /// Lists all codes in order.
             pub const ALL: &[Code] = &[$(Code::$code),*];
 
-            /// The stable name, which scripts may compare with.
+            /// Returns the stable name, which scripts can match.
             pub fn name(self) -> &'static str {
                 match self { $(Code::$code => $name),* }
             }
@@ -55,31 +55,31 @@
     LoopToSelf "loop-to-self",
 }
 
-/// One thing that is wrong with a file.
+/// Describes one error or warning in a file.
 #[derive(Clone, Debug)]
 pub struct Finding {
-    /// Its kind.
+    /// Which kind of finding it is.
     pub code: Code,
-    /// Whether it keeps the file from being loaded; the others are warnings.
+    /// Whether it is an error, which prevents the file from being loaded, or a warning.
     pub is_error: bool,
-    /// What is wrong, and what would be right.
+    /// Says what is wrong and what is accepted.
     pub message: String,
-    /// Bytes of the file.
+    /// Which bytes of the file it refers to.
     pub span: Range<usize>,
 }
 
-/// A position in a file, as editors count it.
+/// Locates a character in a file, counted as editors do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Position {
-    /// From 1.
+    /// Counts lines from 1.
     pub line: usize,
-    /// In characters, from 1.
+    /// Counts characters from 1.
     pub column: usize,
 }
 
 impl Position {
-    /// The position of a byte of the text. One within a character is that of the character, one behind the
-    /// end that of the end.
+    /// Returns the position of a byte of the text. A byte within a character has the position of the
+    /// character, and an offset past the end that of the end.
     pub fn of_byte(text: &str, offset: usize) -> Position {
         let mut offset = offset.min(text.len());
         while !text.is_char_boundary(offset) {
@@ -96,7 +96,7 @@
         if self.is_error { "error" } else { "warning" }
     }
 
-    /// For people: what, where, and the line with the span marked.
+    /// Formats the finding for a terminal: its message, its position, and the line with the span marked.
     pub fn render(&self, file: &str, text: &str) -> String {
         let Position { line, column } = Position::of_byte(text, self.span.start);
         let end = Position::of_byte(text, self.span.end);
@@ -112,7 +112,7 @@
         rendered
     }
 
-    /// For scripts.
+    /// Returns the finding as JSON for scripts.
     pub fn to_json(&self, file: &str, text: &str) -> Value {
         let Position { line, column } = Position::of_byte(text, self.span.start);
         json!({
@@ -126,14 +126,15 @@
     }
 }
 
-/// The known name that is most likely meant, if any is near enough. Of equally near ones the first by name.
+/// Returns the known name with the smallest edit distance, if that is small enough for a typing error. Of
+/// several such names it returns the first in alphabetical order.
 pub fn nearest_name<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     let by_distance = known.into_iter().map(|known| (strsim::damerau_levenshtein(name, known), known));
     let (distance, nearest) = by_distance.min()?;
     (distance <= 1 + name.len() / 4).then_some(nearest)
 }
 
-/// The end of a message that names the nearest known name; empty where none is near enough.
+/// Returns the end of a message that suggests the nearest known name, or an empty string if none is near.
 pub fn nearest_name_hint<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> String {
-    nearest_name(name, known).map_or(String::new(), |nearest| format!("; {nearest:?} is near"))
+    nearest_name(name, known).map_or(String::new(), |nearest| format!("; did you mean {nearest:?}?"))
 }
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The fleet file of balancers: what each stores for its next process, and how they work together. Whatever
-//! the file doesn't name stays off.
+//! Parses and checks the fleet file of balancers. It configures what a balancer stores for its next process,
+//! and how balancers cooperate. A feature whose section is missing is disabled.
 
 mod peers;
 mod quotas;
@@ -14,119 +14,120 @@
 use crate::finding::Finding;
 use crate::table::{Findings, TableReader};
 
-/// What a fleet file turns on.
+/// Holds the sections of a fleet file. A missing section disables its feature.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetConfig {
-    /// Storing the recovery state.
+    /// Configures where the recovery state is stored.
     pub state: Option<StateConfig>,
-    /// Membership.
+    /// Configures membership.
     pub peers: Option<PeersConfig>,
-    /// Permits; valid only with registry replicas among the peers.
+    /// Configures leases; valid only if the peers have registry replicas.
     pub leases: Option<LeasesConfig>,
-    /// Fleet-wide quotas; valid only with registry replicas.
+    /// Configures fleet-wide quotas; valid only with registry replicas.
     pub quotas: Option<QuotasConfig>,
-    /// Fault reports; valid only with registry replicas.
+    /// Configures fault reports; valid only with registry replicas.
     pub fault_reports: Option<FaultReportsConfig>,
 }
 
-/// Balancers report to each other which endpoints they found faulty. The same for all balancers of a fleet.
+/// Configures fault reports, in which balancers tell each other which endpoints they found faulty. The values
+/// must be the same for all balancers of a fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FaultReportsConfig {
-    /// No report with older evidence is used: 1 s to a minute, five seconds by default.
+    /// Limits the age of the evidence in a report that is used: 1 s to 60 s, by default 5 s.
     pub report_lifetime: Duration,
 }
 
-/// Quotas that hold for the whole fleet. The same for all balancers of a fleet.
+/// Configures fleet-wide quotas. The values must be the same for all balancers of a fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotasConfig {
-    /// A balancer whose allocator has not answered for so long is disconnected: 200 ms to 10 s, a second by
-    /// default. An allocation lasts half of it.
+    /// Sets how long the allocator can be silent before a balancer counts as disconnected: 200 ms to 10 s, by
+    /// default 1 s. An allocation is valid for half of it.
     pub contact_timeout: Duration,
-    /// For so long an allocator may allocate without renewing its lease: 1 s to a minute, two seconds by
-    /// default.
+    /// Sets how long an allocator can allocate without renewing its lease: 1 s to 60 s, by default 2 s.
     pub allocator_lease: Duration,
-    /// By the tenants' names.
+    /// Maps the name of a tenant to its quota.
     pub tenants: BTreeMap<String, QuotaConfig>,
 }
 
-/// The quota of one tenant.
+/// Configures the quota of one tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaConfig {
-    /// Requests a second of the whole fleet, 0.1 to 1,000,000.
+    /// Limits the requests per second of the whole fleet: 0.1 to 1,000,000.
     pub rate: f64,
-    /// Requests that may be saved up: 1 or more, a fifth of a second's by default.
+    /// Limits the unused requests that accumulate for a burst: 1 or more, by default those of 0.2 s.
     pub burst: f64,
-    /// What a balancer admits without its allocator.
+    /// What a balancer admits while it is disconnected from the allocator.
     pub when_disconnected: DisconnectedPolicy,
 }
 
-/// What a balancer admits on its own that is disconnected from the allocator.
+/// Says what a balancer admits while it is disconnected from the allocator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DisconnectedPolicy {
-    /// Nothing.
+    /// It admits nothing.
     Strict,
-    /// So many requests a second.
+    /// It admits this many requests per second.
     Floor(f64),
-    /// An even share, by the number of balancers in its settings.
+    /// It admits an even share of the rate, divided by the number of balancers in its settings.
     EvenShare,
 }
 
-/// Leases that balancers give out among themselves. The same for all balancers of a fleet.
+/// Configures the leases that balancers grant each other. The values must be the same for all balancers of a
+/// fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeasesConfig {
-    /// For so long one is held without being renewed: 1 s to 5 min, ten seconds by default.
+    /// Sets how long a lease is held without renewal: 1 s to 5 min, by default 10 s.
     pub duration: Duration,
-    /// By name, how many may hold one at a time: 1 to 16.
+    /// Maps the name of a permit to the number of balancers that can hold it at a time: 1 to 16.
     pub permits: BTreeMap<String, u16>,
 }
 
-/// How a balancer finds its peers.
+/// Configures how a balancer finds its peers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeersConfig {
-    /// Datagrams of other clusters are dropped.
+    /// Names the cluster; datagrams of other clusters are dropped.
     pub cluster: String,
-    /// Where it receives.
+    /// Where it receives datagrams.
     pub listen_address: SocketAddr,
-    /// Where peers reach it, by default where it listens.
+    /// Where peers reach it; by default the listen address.
     pub advertised_address: SocketAddr,
-    /// The path of a file with one or two keys, each a line of 64 hexadecimal digits.
+    /// Holds the path of a file with one or two keys, each a line of 64 hexadecimal digits.
     pub key_file: PathBuf,
-    /// The zone that it tells its peers; empty for none.
+    /// Holds the zone that it announces to its peers; empty for none.
     pub zone: String,
-    /// Addresses at which it looks for a first peer.
+    /// Lists the addresses that it contacts to find a first peer.
     pub seeds: Vec<SocketAddr>,
-    /// Three, five or seven balancers by name, or none.
+    /// Maps names to addresses of three, five or seven balancers, or is empty.
     pub registry_replicas: BTreeMap<String, SocketAddr>,
-    /// One peer is probed in each: 100 ms to 10 s, a second by default.
+    /// Sets the interval at which one peer is probed: 100 ms to 10 s, by default 1 s.
     pub protocol_period: Duration,
-    /// Disconnected from a majority of replicas for so long, it reduces its own share: 1 s to a minute, three
-    /// seconds by default.
+    /// Sets how long it can be disconnected from a majority of replicas before it reduces its own share: 1 s
+    /// to 60 s, by default 3 s.
     pub membership_lease_duration: Duration,
-    /// By what ratio clocks may run apart: up to a fifth, a twentieth by default.
+    /// Limits the assumed drift between clocks, as a ratio: up to 0.2, by default 0.05.
     pub clock_drift_ratio: f64,
-    /// The ratio that is left to balancers that are not counted. Without it, the number in the settings is
-    /// the least that is assumed.
+    /// Sets the ratio of the capacity that is reserved for balancers that are not counted. Without it, the
+    /// number of balancers in the settings is the minimum that is assumed.
     pub reserve_ratio: Option<f64>,
 }
 
-/// Where a balancer stores its recovery state, and how often.
+/// Configures where a balancer stores its recovery state, and how often.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StateConfig {
-    /// An absolute path, since a process may be started from anywhere.
+    /// Holds an absolute path, since a process can be started in any directory.
     pub directory: PathBuf,
-    /// Between 100 ms and a minute, a second by default.
+    /// Sets the time between writes: 100 ms to 60 s, by default 1 s.
     pub interval: Duration,
 }
 
-/// The result of a check.
+/// Holds the result of a check.
 pub struct CheckedFleetConfig {
-    /// None where any finding is an error.
+    /// Holds the configuration, or `None` if any finding is an error.
     pub config: Option<FleetConfig>,
-    /// In the order of the file.
+    /// Lists the findings in the order of the file.
     pub findings: Vec<Finding>,
 }
 
-/// Checks the text of a file.
+/// Parses and checks the text of a fleet file.
 pub fn check(text: &str) -> CheckedFleetConfig {
     let mut findings = Findings::default();
     let config = parse(text, &mut findings)
@@ -160,7 +161,7 @@
     file.get(name).and_then(|value| TableReader::from_value(name, value, findings))
 }
 
-/// Whether the peers have registry replicas.
+/// Says whether the peers have registry replicas.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Replicas {
     Configured,
--- a/crates/config/src/fleet/peers.rs
+++ b/crates/config/src/fleet/peers.rs
@@ -1,4 +1,4 @@
-//! The section of peers.
+//! Reads the `peers` section of a fleet file.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,10 +16,11 @@
 const DEFAULT_MEMBERSHIP_LEASE: Duration = Duration::from_secs(3);
 const DEFAULT_CLOCK_DRIFT_RATIO: f64 = 0.05;
 const DEFAULT_RESERVE_RATIO: f64 = 0.25;
-/// Odd numbers, so that a majority is as small as it can be.
+/// Lists the valid numbers of replicas. They are odd, since an even number needs a larger majority without
+/// tolerating more failures.
 const REPLICA_COUNTS: [usize; 4] = [0, 3, 5, 7];
 
-/// Reads the section; none where a required field is missing or invalid.
+/// Reads the section. Returns `None` if a required field is missing or invalid.
 pub fn read_peers(mut table: TableReader, findings: &mut Findings) -> Option<PeersConfig> {
     let cluster = table.required_string("cluster", findings);
     let listen = table.required_string("listen", findings);
@@ -43,7 +44,8 @@
     }
     let key_file = key_file.and_then(|path| check_key_path(path, findings));
     if seeds.is_empty() && registry_replicas.is_empty() {
-        let message = "peers needs seeds or keepers: without any it hears of nobody until somebody calls it";
+        let message =
+            "peers has neither seeds nor keepers, so the balancer finds no peer until one contacts it";
         findings.warning(Code::MissingField, table.span.clone(), message);
     }
     table.reject_unknown_fields(findings);
@@ -65,10 +67,11 @@
 
 fn read_seeds(table: &mut TableReader, findings: &mut Findings) -> Vec<SocketAddr> {
     let seeds = table.strings("seeds", findings).into_iter();
-    seeds.filter_map(|text| parse_address("a seed", text, findings)).collect()
+    seeds.filter_map(|text| parse_address("an entry of seeds", text, findings)).collect()
 }
 
-/// Two names at one address would count twice in a majority.
+/// Reads the registry replicas. Two names at one address are an error, since one balancer would count twice
+/// in a majority.
 fn read_replicas(table: &mut TableReader, findings: &mut Findings) -> BTreeMap<String, SocketAddr> {
     let entries = table.entries("keepers", findings);
     let count = entries.len();
@@ -78,14 +81,14 @@
         check_name_length("a keeper's name", &name, findings);
         let Some(address) = read_replica_address(&name.value, entry.value, findings) else { continue };
         if let Some((other, _)) = replicas.iter().find(|(_, known)| **known == address) {
-            let message = format!("keepers {other} and {} are both at {address}", name.value);
+            let message = format!("keepers {other} and {} have the same address, {address}", name.value);
             findings.error(Code::DuplicateName, name.span, message);
         }
         replicas.insert(name.value, address);
     }
     if !REPLICA_COUNTS.contains(&count) {
         let message = format!(
-            "keepers of peers have to be 3, 5 or 7, or none, not {count}: most of them have to agree"
+            "keepers of peers must be 3, 5 or 7 balancers, or none, not {count}: a majority must agree"
         );
         findings.error(Code::OutOfBounds, table.span_of("keepers"), message);
     }
@@ -99,7 +102,7 @@
             parse_address(&what, Located { value: text.to_string(), span: value.span() }, findings)
         }
         _ => {
-            let message = format!("{what} has to be an address, as a string");
+            let message = format!("{what} must be an address, as a string");
             findings.error(Code::WrongType, value.span(), message);
             None
         }
@@ -110,7 +113,7 @@
     let address = text.value.parse().ok();
     if address.is_none() {
         let message = format!(
-            "{what}: an address with its port expected, such as \"10.0.0.4:5002\", not {:?}",
+            "{what} must be an IP address and a port, such as \"10.0.0.4:5002\", not {:?}",
             text.value
         );
         findings.error(Code::BadAddress, text.span, message);
@@ -118,12 +121,12 @@
     address
 }
 
-/// The path has to be absolute, since a process may be started from anywhere.
+/// Checks that the path is absolute, since a process can be started in any directory.
 fn check_key_path(path: Located<String>, findings: &mut Findings) -> Option<PathBuf> {
     if Path::new(&path.value).is_absolute() {
         return Some(PathBuf::from(path.value));
     }
-    let message = format!("key of peers has to be a path from the root on, not {:?}", path.value);
+    let message = format!("key of peers must be an absolute path, not {:?}", path.value);
     findings.error(Code::OutOfBounds, path.span, message);
     None
 }
--- a/crates/config/src/fleet/quotas.rs
+++ b/crates/config/src/fleet/quotas.rs
@@ -1,4 +1,4 @@
-//! The section of fleet-wide quotas.
+//! Reads the `limits` section of a fleet file, the fleet-wide quotas.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,9 +10,9 @@
 
 const DEFAULT_CONTACT_TIMEOUT: Duration = Duration::from_secs(1);
 const DEFAULT_ALLOCATOR_LEASE: Duration = Duration::from_secs(2);
-/// The rate that is assumed of a tenant without one, which is a finding.
+/// Replaces a missing rate, so that the other fields can still be checked; the missing rate is an error.
 const PLACEHOLDER_RATE: f64 = 1.0;
-/// The default burst is the rate's requests in a second, divided by this.
+/// Divides the rate to give the default burst, the requests of 0.2 s.
 const DEFAULT_BURSTS_PER_SECOND: f64 = 5.0;
 const MIN_BURST: f64 = 1.0;
 
@@ -29,7 +29,7 @@
         }
     }
     if tenants.is_empty() {
-        let message = "limits name no tenant: nothing is limited";
+        let message = "limits has no tenants, so no request is limited";
         findings.warning(Code::MissingField, table.span.clone(), message);
     }
     require_replicas("limits", &table, replicas, findings);
@@ -43,7 +43,10 @@
 
 fn read_quota(mut table: TableReader, findings: &mut Findings) -> QuotaConfig {
     if !table.has("rate") {
-        let message = format!("{} needs a rate: ops a second of the whole fleet", table.description);
+        let message = format!(
+            "{} is missing the required field rate, the requests per second of the whole fleet",
+            table.description
+        );
         findings.error(Code::MissingField, table.span.clone(), message);
     }
     let rate = table.number("rate", (0.1, 1e6), PLACEHOLDER_RATE, findings);
@@ -63,7 +66,7 @@
     let has_floor = table.has("floor");
     let floor = table.number("floor", (0.01, rate), rate, findings);
     if is_strict && has_floor {
-        let message = format!("{} is strict, and so has no floor: say one of them", table.description);
+        let message = format!("{} has both strict and floor; remove one of them", table.description);
         findings.error(Code::OutOfBounds, table.span_of("floor"), message);
     }
     match (is_strict, has_floor) {
--- a/crates/config/src/fleet/sections.rs
+++ b/crates/config/src/fleet/sections.rs
@@ -1,4 +1,5 @@
-//! The small sections of a fleet file: state, leases and fault reports; and what several sections check.
+//! Reads the `state`, `leases` and `verdicts` sections of a fleet file, and holds the checks that several
+//! sections share.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -14,10 +15,10 @@
 const DEFAULT_REPORT_LIFETIME: Duration = Duration::from_secs(5);
 const DEFAULT_LEASE_DURATION: Duration = Duration::from_secs(10);
 const MAX_PERMIT_HOLDERS: u16 = 16;
-/// A datagram has room for several names of this length.
+/// Limits the length of names, since a datagram must have room for several of them.
 const MAX_NAME_BYTES: usize = 32;
 
-/// Reads the section; none where the directory is missing.
+/// Reads the `state` section. Returns `None` if the directory is missing.
 pub fn read_state(mut table: TableReader, findings: &mut Findings) -> Option<StateConfig> {
     let directory = table.required_string("folder", findings);
     let interval = table.duration("every", ("100ms", "60s"), findings);
@@ -25,14 +26,14 @@
     let directory = directory?;
     let path = PathBuf::from(&directory.value);
     if !path.is_absolute() {
-        let message = format!("folder of state has to be a path from the root on, not {:?}", directory.value);
+        let message = format!("folder of state must be an absolute path, not {:?}", directory.value);
         findings.error(Code::OutOfBounds, directory.span, message);
     }
     let interval = interval.map_or(DEFAULT_STATE_INTERVAL, |interval| interval.value);
     Some(StateConfig { directory: path, interval })
 }
 
-/// Reads the section.
+/// Reads the `verdicts` section, the fault reports.
 pub fn read_fault_reports(
     mut table: TableReader,
     replicas: Replicas,
@@ -44,7 +45,7 @@
     FaultReportsConfig { report_lifetime: lifetime.map_or(DEFAULT_REPORT_LIFETIME, |time| time.value) }
 }
 
-/// Reads the section.
+/// Reads the `leases` section.
 pub fn read_leases(mut table: TableReader, replicas: Replicas, findings: &mut Findings) -> LeasesConfig {
     let duration = table.duration("length", ("1s", "5m"), findings);
     let mut permits = BTreeMap::new();
@@ -59,7 +60,7 @@
     LeasesConfig { duration: duration.map_or(DEFAULT_LEASE_DURATION, |time| time.value), permits }
 }
 
-/// How many may hold a permit at a time.
+/// Reads how many balancers can hold a permit at a time.
 fn read_holder_count(permit: &str, value: &TomlValue, findings: &mut Findings) -> Option<u16> {
     let count = match value.get_ref() {
         DeValue::Integer(number) => u16::from_str_radix(number.as_str(), number.radix()).ok(),
@@ -68,28 +69,29 @@
     let count = count.filter(|count| (1..=MAX_PERMIT_HOLDERS).contains(count));
     if count.is_none() {
         let message = format!(
-            "permit {permit} has to say how many may hold it at a time, from 1 to {MAX_PERMIT_HOLDERS}"
+            "permit {permit} must be the number of balancers that can hold it at a time, from 1 to \
+            {MAX_PERMIT_HOLDERS}"
         );
         findings.error(Code::OutOfBounds, value.span(), message);
     }
     count
 }
 
-/// Adds a finding to a section that needs registry replicas where there are none.
+/// Adds a finding to a section that needs registry replicas if there are none.
 pub fn require_replicas(what: &str, table: &TableReader, replicas: Replicas, findings: &mut Findings) {
     if replicas == Replicas::Missing {
         let message = format!(
-            "{what} need keepers, in peers: three, five or seven balancers, of which most have to agree"
+            "{what} needs keepers in peers: three, five or seven balancers, a majority of which must agree"
         );
         findings.error(Code::MissingField, table.span.clone(), message);
     }
 }
 
-/// Adds a finding where a name is empty or too long.
+/// Adds a finding if a name is empty or too long.
 pub fn check_name_length(what: &str, name: &Located<String>, findings: &mut Findings) {
     let length = name.value.len();
     if !(1..=MAX_NAME_BYTES).contains(&length) {
-        let message = format!("{what} has to be of 1 to {MAX_NAME_BYTES} bytes, not {length}");
+        let message = format!("{what} must have 1 to {MAX_NAME_BYTES} bytes, not {length}");
         findings.error(Code::OutOfBounds, name.span.clone(), message);
     }
 }
--- a/crates/config/src/generate.rs
+++ b/crates/config/src/generate.rs
@@ -1,5 +1,5 @@
-//! Generates the configuration of a sidecar from what its application needs and a list of endpoints. What it
-//! returns has passed the check.
+//! Generates the configuration of a sidecar from a short description of its application and a list of
+//! endpoints. A configuration is only returned if it passes the check.
 
 use std::fmt::Write;
 
@@ -15,23 +15,24 @@
 const DEFAULT_READ_TIMEOUT: &str = "2s";
 const DEFAULT_ORDER_TIMEOUT: &str = "4s";
 
-/// What an application needs. Values are taken over as written; the check of the result judges them.
+/// Holds the description of an application. Its values are copied as written, and validated by the check of
+/// the generated configuration.
 struct Application {
     name: String,
     listen_address: String,
-    /// Paths of requests that may be repeated.
+    /// Lists the paths of requests that can be retried.
     reads: Vec<Located<String>>,
-    /// Paths of requests that must not be repeated.
+    /// Lists the paths of requests that must not be retried.
     orders: Vec<Located<String>>,
     read_timeout: String,
     order_timeout: String,
     key: Option<String>,
 }
 
-/// Generates a configuration from the application's own few lines.
+/// Generates a configuration from the description of an application and its endpoints.
 ///
 /// # Errors
-/// The findings in these lines, or in what was generated from them, which have no position.
+/// Returns the findings in the description, or those in the generated configuration, which have no position.
 pub fn generate(application: &str, endpoints: &[StaticEndpoint]) -> Result<String, Vec<Finding>> {
     let table = parse(application)?;
     let application = read_application(&table)?;
@@ -53,7 +54,7 @@
         vec![Finding {
             code: Code::NotToml,
             is_error: true,
-            message: format!("this is no TOML: {}", error.message()),
+            message: format!("the file is not valid TOML: {}", error.message()),
             span: error.span().unwrap_or(0..0),
         }]
     })
@@ -70,7 +71,8 @@
     let order_timeout = string_or(&mut table, "order_ttl", DEFAULT_ORDER_TIMEOUT, &mut findings);
     let key = table.string("key", &mut findings).map(|key| key.value);
     if reads.is_empty() && orders.is_empty() {
-        let message = "the application needs reads or orders: the paths that it asks for";
+        let message =
+            "the application has neither reads nor orders; list the paths that it requests in one of them";
         findings.error(Code::MissingField, 0..0, message);
     }
     table.reject_unknown_fields(&mut findings);
@@ -96,28 +98,31 @@
     toml::Value::String(text.to_string()).to_string()
 }
 
-// Writing to a String cannot fail, hence the ignored results below.
+// Writing to a String cannot fail, so the functions below ignore the results.
 
 fn write_header(out: &mut String, application: &Application) {
     let _ = writeln!(
         out,
-        "# Written for {} by doorproxy configure; `doorproxy check` tells whether it still holds.",
+        "# Generated for {} by doorproxy configure; verify changes with `doorproxy check`.",
         application.name
     );
     let _ = writeln!(out, "name = {}\n", quoted(&application.name));
-    let _ = writeln!(out, "# Requests that no route takes are answered 404.\nunrouted = \"not-found\"\n");
+    let _ =
+        writeln!(out, "# Requests that match no route are answered with 404.\nunrouted = \"not-found\"\n");
     let _ = writeln!(out, "[[listen]]\naddress = {}\n", quoted(&application.listen_address));
 }
 
 fn write_classes(out: &mut String, application: &Application) {
     let _ = writeln!(
         out,
-        "# Harmless to repeat: another server is asked where one fails.\n[category.read]\nrepeats = \"always\"\nttl = {}\n",
+        "# Idempotent: a failed request is retried on another server.\n\
+        [category.read]\nrepeats = \"always\"\nttl = {}\n",
         quoted(&application.read_timeout)
     );
     let _ = writeln!(
         out,
-        "# Never sent again once it may have run.\n[category.order]\nrepeats = \"never\"\nttl = {}\nbenefit = 5.0\n",
+        "# Not idempotent: a request that may have run is never retried.\n\
+        [category.order]\nrepeats = \"never\"\nttl = {}\nbenefit = 5.0\n",
         quoted(&application.order_timeout)
     );
 }
@@ -139,7 +144,7 @@
     *out += "]\n";
 }
 
-/// Methods other than GET and HEAD are no reads, also on the path of one.
+/// Writes two routes for each path of a read: methods other than GET and HEAD count as orders there.
 fn write_routes(out: &mut String, application: &Application) {
     let mut write_route = |path: &Located<String>, methods: &str, class: &str| {
         let (path, class) = (quoted(&path.value), quoted(class));
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,5 +1,6 @@
-//! The configuration of a sidecar, and the fleet file of balancers: TOML, read and checked as a whole, so
-//! that all findings are reported at once. The crate does no I/O; the caller has read the file.
+//! Parses and checks the configuration of a sidecar and the fleet file of balancers. Both are TOML, and a
+//! file is checked as a whole, so that all findings are reported at once. The crate does no I/O: the caller
+//! reads the file.
 
 #![warn(missing_docs)]
 
--- a/crates/config/src/sidecar.rs
+++ b/crates/config/src/sidecar.rs
@@ -1,4 +1,4 @@
-//! A valid configuration of a sidecar.
+//! Defines the valid configuration of a sidecar, the result of a check without errors.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -6,17 +6,17 @@
 
 use doorproxy_routes::router::Router;
 
-/// Where a sidecar accepts connections.
+/// Says where a sidecar accepts connections.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListenAddress {
-    /// An IP address and a port.
+    /// Holds an IP address and a port.
     Tcp(SocketAddr),
-    /// The path of a Unix domain socket.
+    /// Holds the path of a Unix domain socket.
     Unix(PathBuf),
 }
 
 impl ListenAddress {
-    /// As printed for people.
+    /// Returns the address as shown in messages.
     pub fn describe(&self) -> String {
         match self {
             ListenAddress::Tcp(address) => address.to_string(),
@@ -25,19 +25,19 @@
     }
 }
 
-/// The endpoints that share their memory of processed requests.
+/// Says which endpoints share their records of processed requests, and so drop each other's duplicates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// All endpoints of a pool.
+    /// All endpoints of a pool share them.
     All,
-    /// Those of one zone.
+    /// The endpoints of a zone share them.
     Zone,
-    /// Those of one cell.
+    /// The endpoints of a cell share them.
     Cell,
 }
 
 impl DedupScope {
-    /// As files and messages name it.
+    /// Returns its name in files and messages.
     pub fn as_str(self) -> &'static str {
         match self {
             DedupScope::All => "all",
@@ -47,19 +47,19 @@
     }
 }
 
-/// Whether a request that may have run may be sent again.
+/// Says whether a request that an endpoint may have processed can be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may.
+    /// It can always be retried.
     Idempotent,
-    /// Only within the scope and the window in which endpoints drop repeats.
+    /// It can be retried only within the scope and the time window in which endpoints drop duplicates.
     Deduplicated(DedupScope, Duration),
-    /// It must not.
+    /// It must not be retried.
     NonIdempotent,
 }
 
 impl Idempotency {
-    /// Grows with what must not be repeated; only comparisons of it mean anything.
+    /// Returns a rank that is higher where fewer retries are allowed. Only its order is meaningful.
     pub fn strictness(self) -> u8 {
         match self {
             Idempotency::Idempotent => 0,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// As printed for people, behind "repeats".
+    /// Returns the rule as shown after the word "repeats" in messages.
     pub fn describe(self) -> String {
         match self {
             Idempotency::Idempotent => "always".to_string(),
@@ -80,154 +80,154 @@
     }
 }
 
-/// A request class: how requests of a kind are treated.
+/// Holds the settings of a request class, the `category` of a file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// Its name in the file.
+    /// Holds its name in the file.
     pub name: String,
-    /// Whether its requests may be repeated.
+    /// Whether its requests can be retried.
     pub idempotency: Idempotency,
-    /// The latency that its requests should not exceed.
+    /// Sets the latency that its requests should not exceed.
     pub latency_objective: Duration,
-    /// How long a request may take at the most.
+    /// Limits how long a request may take.
     pub timeout: Duration,
-    /// The weight of its requests when not all can be served.
+    /// Weighs its requests against those of other classes when load is shed.
     pub priority_weight: f64,
 }
 
-/// A tenant, whose requests share a quota.
+/// Holds the quota that the requests of one tenant share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name in the file.
+    /// Holds its name in the file.
     pub name: String,
-    /// Requests a second.
+    /// Limits its requests per second.
     pub quota: f64,
 }
 
-/// An endpoint that the file itself lists.
+/// Describes an endpoint that is listed in the file itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StaticEndpoint {
-    /// Its name, unique in its pool.
+    /// Holds its name, which is unique in its pool.
     pub name: String,
     /// Where it listens.
     pub address: SocketAddr,
-    /// Its zone, if the file says it.
+    /// Holds its zone, if the file sets one.
     pub zone: Option<String>,
-    /// Its cell, if the file says it.
+    /// Holds its cell, if the file sets one.
     pub cell: Option<u16>,
-    /// Its endpoint kind.
+    /// Holds its endpoint kind.
     pub kind: String,
-    /// Its size relative to the others.
+    /// Holds its capacity relative to other endpoints.
     pub weight: f64,
 }
 
-/// Slots of the hashed key space that an endpoint kind owns.
+/// Assigns a range of key slots to an endpoint kind.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KeyRange {
-    /// The kind that owns them.
+    /// Names the kind that owns the slots.
     pub kind: String,
-    /// The first slot.
+    /// Holds the first slot.
     pub first: u64,
-    /// The last slot, inclusive.
+    /// Holds the last slot, inclusive.
     pub last: u64,
 }
 
-/// Where the endpoints of a pool come from.
+/// Says where the endpoints of a pool come from.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointSource {
-    /// From the file.
+    /// The file lists them.
     Static(Vec<StaticEndpoint>),
-    /// From discovery at this address.
+    /// Discovery at this address lists them.
     Discovery(SocketAddr),
 }
 
-/// Endpoints among which requests are balanced.
+/// Describes the endpoints among which requests are balanced.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pool {
-    /// Its name in the file.
+    /// Holds its name in the file.
     pub name: String,
     /// Where its endpoints come from.
     pub source: EndpointSource,
-    /// The kind that takes keys that no range owns. Without it and without ranges, the route table is
-    /// derived.
+    /// Names the kind that gets the keys that no range owns. With neither a default nor ranges, the route
+    /// table is derived from the endpoints.
     pub default_kind: Option<String>,
-    /// In the order of their slots, without overlaps.
+    /// Lists the ranges, sorted by their slots and without overlaps.
     pub key_ranges: Vec<KeyRange>,
 }
 
-/// Where a value is taken from in a request.
+/// Says which part of a request provides a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ValueSource {
-    /// A header field, by its name in lower case.
+    /// Reads the header field with this name, in lower case.
     Header(String),
-    /// A cookie, by its name.
+    /// Reads the cookie with this name.
     Cookie(String),
-    /// A parameter of the query, by its name.
+    /// Reads the query parameter with this name.
     Query(String),
-    /// A segment of the path, by its index.
+    /// Reads the path segment with this index.
     PathSegment(usize),
-    /// The value itself.
+    /// Provides this value for every request.
     Fixed(String),
 }
 
-/// A route: the requests that it matches are of one class and go to one pool.
+/// Assigns the requests that a route matches to one class and one pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name in the file or, without one, its methods and its path.
+    /// Holds its name in the file, or its methods and path if it has none.
     pub name: String,
-    /// The index of its class.
+    /// Holds the index of its class.
     pub class: usize,
-    /// The index of its pool.
+    /// Holds the index of its pool.
     pub pool: usize,
-    /// Where the key of a request is taken from.
+    /// Which part of a request provides the key.
     pub key: Option<ValueSource>,
-    /// Where the cost estimate is taken from, in core seconds.
+    /// Which part of a request provides the cost estimate, in core seconds.
     pub cost_estimate: Option<ValueSource>,
-    /// Where the tenant's name is taken from.
+    /// Which part of a request provides the tenant's name.
     pub tenant: Option<ValueSource>,
-    /// How long a request may take, at most the timeout of the class.
+    /// Limits how long a request may take, to at most the timeout of the class.
     pub timeout: Duration,
-    /// Why unsafe methods may be repeated here, as the file's author states it.
+    /// Holds the reason that the file gives for retrying unsafe methods on this route.
     pub unsafe_retry_reason: Option<String>,
 }
 
-/// What a sidecar may use.
+/// Limits the resources that a sidecar uses.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResourceLimits {
-    /// Sidecars and balancers that send to the same endpoints, this one included.
+    /// Counts the sidecars and balancers that send to the same endpoints, this one included.
     pub balancer_count: u32,
-    /// Sockets to clients and endpoints together.
+    /// Limits the sockets to clients and endpoints together.
     pub max_sockets: usize,
-    /// The largest request body that is accepted, in bytes.
+    /// Limits the request body that is accepted, in bytes.
     pub max_body_bytes: u64,
-    /// The largest request body that is buffered for a retry, in bytes.
+    /// Limits the request body that is buffered for a retry, in bytes.
     pub max_buffered_bytes: u64,
-    /// The largest request head, in bytes.
+    /// Limits the request head, in bytes.
     pub max_head_bytes: u64,
-    /// How long a connection to an endpoint may take to be established.
+    /// Limits how long connecting to an endpoint may take.
     pub connect_timeout: Duration,
-    /// After what time an idle connection is closed.
+    /// Sets the time after which an idle connection is closed.
     pub keepalive_timeout: Duration,
 }
 
-/// A configuration in which no error was found.
+/// Holds a configuration in which no error was found.
 pub struct SidecarConfig {
-    /// The sidecar's name.
+    /// Holds the sidecar's name.
     pub name: String,
     /// Where it listens.
     pub listeners: Vec<ListenAddress>,
-    /// By name.
+    /// Lists the pools, sorted by name.
     pub pools: Vec<Pool>,
-    /// By name.
+    /// Lists the request classes, sorted by name.
     pub classes: Vec<RequestClass>,
-    /// By name.
+    /// Lists the tenants, sorted by name.
     pub tenants: Vec<Tenant>,
-    /// In the order of the file.
+    /// Lists the routes in the order of the file.
     pub routes: Vec<Route>,
-    /// The patterns of all routes. A route with several hosts has one pattern for each.
+    /// Holds the patterns of all routes. A route with several hosts has one pattern for each.
     pub router: Router,
-    /// The index of the route of each pattern.
+    /// Maps the index of a pattern to that of its route.
     pub route_of_pattern: Vec<usize>,
-    /// What the sidecar may use.
+    /// Limits the resources that the sidecar uses.
     pub limits: ResourceLimits,
 }
--- a/crates/config/src/table.rs
+++ b/crates/config/src/table.rs
@@ -1,5 +1,5 @@
-//! A TOML table read field by field, with the position of each, so that all findings of a file are reported
-//! at once. Fields that nobody asked for are findings too.
+//! Reads a TOML table field by field and keeps the position of each, so that all findings of a file are
+//! reported at once. Fields that the reader never asked for are findings too.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -10,71 +10,71 @@
 use crate::finding::{Code, Finding, nearest_name_hint};
 use crate::units::{self, UnitError};
 
-/// A TOML value with its position.
+/// Represents a TOML value with its position.
 pub type TomlValue<'a> = Spanned<DeValue<'a>>;
 
-/// The findings of a file, in the order in which they were made.
+/// Collects the findings of a file in the order in which they are added.
 #[derive(Default)]
 pub struct Findings(Vec<Finding>);
 
 impl Findings {
-    /// Adds a finding that keeps the file from being loaded.
+    /// Adds an error, which prevents the file from being loaded.
     pub fn error(&mut self, code: Code, span: Range<usize>, message: impl Into<String>) {
         self.0.push(Finding { code, is_error: true, message: message.into(), span });
     }
 
-    /// Adds a finding with which the file can be loaded.
+    /// Adds a warning, with which the file can still be loaded.
     pub fn warning(&mut self, code: Code, span: Range<usize>, message: impl Into<String>) {
         self.0.push(Finding { code, is_error: false, message: message.into(), span });
     }
 
-    /// Whether there is no finding, not even a warning.
+    /// Returns whether there are no findings, not even warnings.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Whether any finding is an error.
+    /// Returns whether any finding is an error.
     pub fn has_error(&self) -> bool {
         self.0.iter().any(|finding| finding.is_error)
     }
 
-    /// In the order in which they were made.
+    /// Returns the findings in the order in which they were added.
     pub fn into_vec(self) -> Vec<Finding> {
         self.0
     }
 
-    /// In the order of the file; at the same position in that of [`Code`].
+    /// Returns the findings sorted by position, and those at the same position in the order of [`Code`].
     pub fn into_sorted(mut self) -> Vec<Finding> {
         self.0.sort_by_key(|finding| (finding.span.start, finding.code));
         self.0
     }
 }
 
-/// A value and its position.
+/// Holds a value and its position.
 #[derive(Clone, Debug)]
 pub struct Located<T> {
-    /// The value.
+    /// Holds the value.
     pub value: T,
-    /// Bytes of the file.
+    /// Which bytes of the file hold it.
     pub span: Range<usize>,
 }
 
-/// An entry of a table whose keys the file chooses.
+/// Holds an entry of a table whose keys are chosen by the file's author.
 pub struct NamedValue<'t, 'a> {
-    /// The key, and its position.
+    /// Holds the key and its position.
     pub name: Located<String>,
-    /// What stands behind it.
+    /// Holds the value of the key.
     pub value: &'t TomlValue<'a>,
 }
 
-/// The smallest and the largest valid value, both as a file would have them.
+/// Holds the smallest and the largest valid value, both as written in a file.
 type QuantityBounds = (&'static str, &'static str);
 
 /// Reads one table of the file.
 pub struct TableReader<'t, 'a> {
-    /// What messages call the table.
+    /// Names the table in messages.
     pub description: String,
-    /// Bytes of the file.
+    /// Which bytes of the file hold the table.
     pub span: Range<usize>,
     table: &'t DeTable<'a>,
     known_fields: Vec<&'static str>,
@@ -93,7 +93,7 @@
 }
 
 impl<'t, 'a> TableReader<'t, 'a> {
-    /// A table that messages call by this description.
+    /// Creates a reader for a table, which messages name by the description.
     pub fn new(
         description: impl Into<String>,
         span: Range<usize>,
@@ -102,7 +102,7 @@
         TableReader { description: description.into(), span, table, known_fields: Vec::new() }
     }
 
-    /// The table that a value is; none, and a finding, where it is of another type.
+    /// Creates a reader for a value that must be a table. Otherwise adds a finding and returns `None`.
     pub fn from_value(
         description: impl Into<String>,
         value: &'t TomlValue<'a>,
@@ -112,14 +112,14 @@
         match value.get_ref() {
             DeValue::Table(table) => Some(TableReader::new(description, value.span(), table)),
             other => {
-                let message = format!("{description} has to be a table, not {}", type_name(other));
+                let message = format!("{description} must be a table, not {}", type_name(other));
                 findings.error(Code::WrongType, value.span(), message);
                 None
             }
         }
     }
 
-    /// Asks for a field, which thereby is a known one.
+    /// Returns the value of a field, if present, and marks the field as known.
     pub fn get(&mut self, name: &'static str) -> Option<&'t TomlValue<'a>> {
         self.known_fields.push(name);
         self.table.get(name)
@@ -130,26 +130,23 @@
         self.known_fields.push(name);
     }
 
-    /// Whether the file has the field, of whatever type.
+    /// Returns whether the table has the field, of any type.
     pub fn has(&self, name: &str) -> bool {
         self.table.contains_key(name)
     }
 
-    /// The position of a field or, where it is missing, of the table.
+    /// Returns the position of a field's value, or that of the table if the field is missing.
     pub fn span_of(&self, name: &str) -> Range<usize> {
         self.table.get(name).map_or(self.span.clone(), Spanned::span)
     }
 
     fn report_wrong_type(&self, name: &str, expected: &str, value: &TomlValue, findings: &mut Findings) {
-        let message = format!(
-            "{name} of {} has to be {expected}, not {}",
-            self.description,
-            type_name(value.get_ref())
-        );
+        let message =
+            format!("{name} of {} must be {expected}, not {}", self.description, type_name(value.get_ref()));
         findings.error(Code::WrongType, value.span(), message);
     }
 
-    /// A string; none where the field is missing or, with a finding, of another type.
+    /// Reads a string. Returns `None` if the field is missing or has another type, which adds a finding.
     pub fn string(&mut self, name: &'static str, findings: &mut Findings) -> Option<Located<String>> {
         let value = self.get(name)?;
         match value.get_ref() {
@@ -161,7 +158,7 @@
         }
     }
 
-    /// The same of a field whose absence is a finding.
+    /// Reads a string like [`TableReader::string`], but also adds a finding if the field is missing.
     pub fn required_string(
         &mut self,
         name: &'static str,
@@ -169,14 +166,14 @@
     ) -> Option<Located<String>> {
         if !self.has(name) {
             self.known_fields.push(name);
-            let message = format!("{} needs the field {name}", self.description);
+            let message = format!("{} is missing the required field {name}", self.description);
             findings.error(Code::MissingField, self.span.clone(), message);
             return None;
         }
         self.string(name, findings)
     }
 
-    /// A boolean; false where the field is missing or, with a finding, of another type.
+    /// Reads a boolean. Returns false if the field is missing or has another type, which adds a finding.
     pub fn boolean(&mut self, name: &'static str, findings: &mut Findings) -> bool {
         let Some(value) = self.get(name) else { return false };
         match value.get_ref() {
@@ -188,7 +185,8 @@
         }
     }
 
-    /// A number within inclusive bounds; the default where the field is missing or, with a finding, invalid.
+    /// Reads a number within inclusive bounds. Returns the default if the field is missing or invalid; an
+    /// invalid one adds a finding.
     pub fn number(
         &mut self,
         name: &'static str,
@@ -210,10 +208,8 @@
         match number.filter(|number| (bounds.0..=bounds.1).contains(number)) {
             Some(number) => number,
             None => {
-                let message = format!(
-                    "{name} of {} has to lie between {} and {}",
-                    self.description, bounds.0, bounds.1
-                );
+                let message =
+                    format!("{name} of {} must be between {} and {}", self.description, bounds.0, bounds.1);
                 findings.error(Code::OutOfBounds, value.span(), message);
                 default
             }
@@ -237,14 +233,15 @@
                 if bounds.is_none_or(|(min, max)| min <= value && value <= max) {
                     return Some(Located { value, span: text.span });
                 }
-                let message = format!("{name} of {} has to lie between {min} and {max}", self.description);
+                let message = format!("{name} of {} must be between {min} and {max}", self.description);
                 findings.error(Code::OutOfBounds, text.span, message);
             }
         }
         None
     }
 
-    /// A duration within inclusive bounds; none where the field is missing or, with a finding, invalid.
+    /// Reads a duration within inclusive bounds. Returns `None` if the field is missing or invalid; an
+    /// invalid one adds a finding.
     pub fn duration(
         &mut self,
         name: &'static str,
@@ -254,7 +251,7 @@
         self.quantity(name, bounds, units::parse_duration, findings)
     }
 
-    /// A size in bytes, like [`TableReader::duration`].
+    /// Reads a size in bytes within inclusive bounds, like [`TableReader::duration`].
     pub fn byte_size(
         &mut self,
         name: &'static str,
@@ -264,7 +261,7 @@
         self.quantity(name, bounds, units::parse_size, findings)
     }
 
-    /// A list; empty where the field is missing or, with a finding, of another type.
+    /// Reads a list. Returns an empty one if the field is missing or has another type, which adds a finding.
     pub fn array(&mut self, name: &'static str, findings: &mut Findings) -> &'t [TomlValue<'a>] {
         let Some(value) = self.get(name) else { return &[] };
         match value.get_ref() {
@@ -276,7 +273,7 @@
         }
     }
 
-    /// The strings of a list; other items are findings.
+    /// Reads the strings of a list, and adds a finding for each item of another type.
     pub fn strings(&mut self, name: &'static str, findings: &mut Findings) -> Vec<Located<String>> {
         let mut texts = Vec::new();
         for item in self.array(name, findings) {
@@ -288,7 +285,7 @@
         texts
     }
 
-    /// The entries of a table whose keys the file chooses, by key.
+    /// Reads the entries of a table whose keys are chosen by the file's author, sorted by key.
     pub fn entries(&mut self, name: &'static str, findings: &mut Findings) -> Vec<NamedValue<'t, 'a>> {
         let Some(value) = self.get(name) else { return Vec::new() };
         let DeValue::Table(table) = value.get_ref() else {
@@ -302,7 +299,7 @@
         table.iter().map(entry).collect()
     }
 
-    /// Reports the fields that nobody asked for. To be called when all others were.
+    /// Adds a finding for each field that is not known. Call it after all known fields have been read.
     pub fn reject_unknown_fields(self, findings: &mut Findings) {
         for (key, _) in self.table.iter() {
             let name = key.get_ref().as_ref();
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -1,4 +1,5 @@
-//! Durations, sizes and key slots as people write them. A value without its unit is an error, never a guess.
+//! Parses durations, sizes and key slots. A duration or a size without a unit is an error, since no unit is
+//! assumed.
 
 use std::time::Duration;
 
@@ -6,38 +7,38 @@
 
 const HEX_DIGITS_PER_SLOT: usize = 16;
 
-/// Why a text is no duration, size or key slot. Each holds the text.
+/// Says why a text is not a duration, size or key slot. Each variant holds the text.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum UnitError {
     /// A duration has no unit, or an unknown one.
-    #[error("a time with its unit expected, such as \"600ms\", \"1.5s\" or \"2m\", not {0:?}")]
+    #[error("{0:?} is not a duration in ms, s or m, such as \"600ms\", \"1.5s\" or \"2m\"")]
     MissingTimeUnit(String),
-    /// What stands before the unit is no number.
-    #[error("a number before the unit expected, not {0:?}")]
+    /// The text before the unit of a duration is not a number.
+    #[error("{0:?} has no valid number before the unit")]
     NotANumber(String),
-    /// The duration can't be represented.
-    #[error("a shorter time than {0:?} expected")]
+    /// The duration is too long to be represented.
+    #[error("{0:?} is too long a duration")]
     TimeTooLong(String),
     /// A size has no unit, or an unknown one.
-    #[error("a size with its unit expected, such as \"512B\", \"64KiB\" or \"1MiB\", not {0:?}")]
+    #[error("{0:?} is not a size in B, KiB, MiB or GiB, such as \"512B\", \"64KiB\" or \"1MiB\"")]
     MissingSizeUnit(String),
-    /// What stands before the unit is no whole number.
-    #[error("a whole number before the unit expected, not {0:?}")]
+    /// The text before the unit of a size is not a whole number.
+    #[error("{0:?} has no whole number before the unit")]
     NotAWholeNumber(String),
-    /// The size can't be represented.
-    #[error("a smaller size than {0:?} expected")]
+    /// The size is too large to be represented.
+    #[error("{0:?} is too large a size")]
     SizeTooLarge(String),
-    /// A key slot has too few or too many digits, or others than hexadecimal ones.
-    #[error("1 to 16 hexadecimal digits expected, counted from the left, not {0:?}")]
+    /// A key slot has too few or too many digits, or a digit that is not hexadecimal.
+    #[error("{0:?} is not a key slot; expected 1 to 16 hexadecimal digits, the leading ones of the slot")]
     KeySlotDigits(String),
 }
 
-/// Which end of a range of key slots. Missing digits are filled up accordingly.
+/// Says which end of a range a key slot is, which decides how missing digits are padded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RangeEnd {
-    /// Filled up with 0.
+    /// The first slot is padded with 0.
     First,
-    /// Inclusive, filled up with f.
+    /// The last slot is inclusive and padded with f.
     Last,
 }
 
@@ -54,7 +55,7 @@
 /// Parses a duration such as "600ms", "1.5s" or "2m".
 ///
 /// # Errors
-/// Where the unit is missing, or the number isn't one or is too large.
+/// Returns an error if the unit is missing, or the number is invalid or too large.
 pub fn parse_duration(text: &str) -> Result<Duration, UnitError> {
     let Quantity { number, unit } = split_unit(text);
     let seconds_per_unit = match unit {
@@ -71,7 +72,7 @@
 /// Parses a size in bytes such as "512B", "64KiB" or "1MiB".
 ///
 /// # Errors
-/// Where the unit is missing, or the number isn't whole or is too large.
+/// Returns an error if the unit is missing, or the number is not whole or too large.
 pub fn parse_size(text: &str) -> Result<u64, UnitError> {
     let Quantity { number, unit } = split_unit(text);
     let bytes_per_unit = match unit {
@@ -85,10 +86,10 @@
     number.checked_mul(bytes_per_unit).ok_or_else(|| UnitError::SizeTooLarge(text.to_string()))
 }
 
-/// Parses one end of a range of the hashed key space: hexadecimal digits from the left.
+/// Parses one end of a range of key slots from its leading hexadecimal digits.
 ///
 /// # Errors
-/// Where there are not 1 to 16 hexadecimal digits.
+/// Returns an error unless there are 1 to 16 hexadecimal digits.
 pub fn parse_key_slot(text: &str, end: RangeEnd) -> Result<u64, UnitError> {
     let invalid = || UnitError::KeySlotDigits(text.to_string());
     let digits = text.trim_start_matches("0x");
@@ -96,10 +97,10 @@
     if !has_valid_length || !digits.bytes().all(|byte| byte.is_ascii_hexdigit()) {
         return Err(invalid());
     }
-    let filler = match end {
+    let padding = match end {
         RangeEnd::First => "0",
         RangeEnd::Last => "f",
     };
-    let filled = format!("{digits}{}", filler.repeat(HEX_DIGITS_PER_SLOT - digits.len()));
-    u64::from_str_radix(&filled, 16).map_err(|_| invalid())
+    let padded = format!("{digits}{}", padding.repeat(HEX_DIGITS_PER_SLOT - digits.len()));
+    u64::from_str_radix(&padded, 16).map_err(|_| invalid())
 }
--- a/crates/config/tests/checks.rs
+++ b/crates/config/tests/checks.rs
@@ -1,5 +1,4 @@
-//! Broken files and good ones. Each broken one is the example with one thing changed; the sign @ stands before what the
-//! finding has to point at, and is taken out before the file is read.
+//! Tests the check of sidecar files with invalid and valid edits of the example.
 
 use doorproxy_config::check::check;
 use doorproxy_config::finding::{Code, Position};
@@ -7,10 +6,11 @@
 use expect_test::expect;
 use proptest::prelude::*;
 
-const GOOD: &str = include_str!("../../../examples/sidecar.toml");
+const EXAMPLE: &str = include_str!("../../../examples/sidecar.toml");
 
-/// What is changed in the example, and what that is found to be.
-const BROKEN: &[(&str, &str, &str)] = &[
+/// Lists invalid edits of the example: the code of the expected finding, the text to replace, and its
+/// replacement. An @ in the replacement marks the position of the finding, and is removed before the check.
+const INVALID_EDITS: &[(&str, &str, &str)] = &[
     ("not-toml", "name = \"charts\"", "name = @charts"),
     ("not-toml", "[limits]", "@[limits"),
     ("not-toml", "share = 100", "share = @"),
@@ -115,43 +115,45 @@
 ];
 
 #[test]
-fn each_broken_file_is_rejected_by_name_and_line() {
-    let mut wrong = Vec::new();
-    for (code, old, new) in BROKEN {
-        assert!(GOOD.contains(old), "{old:?} is not in the example");
-        let marked = GOOD.replacen(old, new, 1);
+fn invalid_edit_gets_its_code_at_the_marked_line() {
+    let mut unexpected = Vec::new();
+    for (code, old, new) in INVALID_EDITS {
+        assert!(EXAMPLE.contains(old), "{old:?} is not in the example");
+        let marked = EXAMPLE.replacen(old, new, 1);
         let text = marked.replace('@', "");
         let checked = check(&text, None);
-        let at = marked.find('@').map(|at| Position::of_byte(&text, at).line);
+        let expected_line = marked.find('@').map(|offset| Position::of_byte(&text, offset).line);
         let is_found = checked.findings.iter().any(|finding| {
             finding.code.name() == *code
-                && at.is_none_or(|line| Position::of_byte(&text, finding.span.start).line == line)
+                && expected_line.is_none_or(|line| Position::of_byte(&text, finding.span.start).line == line)
         });
-        let is_only_warned = *code == "listen-not-loopback";
-        if !is_found || checked.config.is_some() != is_only_warned {
-            let told: String = checked.findings.iter().map(|finding| finding.render("file", &text)).collect();
-            wrong.push(format!("{code} at line {at:?} of {new:?}: {told}"));
+        let is_only_warning = *code == "listen-not-loopback";
+        if !is_found || checked.config.is_some() != is_only_warning {
+            let rendered: String =
+                checked.findings.iter().map(|finding| finding.render("file", &text)).collect();
+            unexpected.push(format!("{code} at line {expected_line:?} of {new:?}: {rendered}"));
         }
     }
-    assert_eq!(wrong, Vec::<String>::new());
-    assert!(BROKEN.len() >= 60);
+    assert_eq!(unexpected, Vec::<String>::new());
+    assert!(INVALID_EDITS.len() >= 60);
     for code in Code::ALL {
-        let count = BROKEN.iter().filter(|(name, ..)| *name == code.name()).count();
-        assert!(count >= 2, "{} stands {count} times among the broken files", code.name());
+        let count = INVALID_EDITS.iter().filter(|(name, ..)| *name == code.name()).count();
+        assert!(count >= 2, "{} has {count} invalid edits", code.name());
     }
 }
 
-/// What a class goes by has to be said of each endpoint that it may be repeated on.
+/// Guards against a retry on an endpoint that does not drop it as a duplicate: endpoints without a zone or
+/// cell would count as one scope.
 #[test]
 fn endpoints_must_state_their_dedup_scope() {
-    let by_cell = GOOD.replacen("group = \"zone\"", "group = \"cell\"", 1).replacen(
+    let by_cell = EXAMPLE.replacen("group = \"zone\"", "group = \"cell\"", 1).replacen(
         "category = \"read\"\npool = \"quotes\"\nttl",
         "category = \"top-up\"\npool = \"quotes\"\nttl",
         1,
     );
     let with_cells = by_cell.replace("kind = \"small\" }", "kind = \"small\", cell = 1 }");
     let all = with_cells.replace("size = 2.0", "cell = 2");
-    let told = [by_cell, with_cells, all].map(|text| {
+    let messages = [by_cell, with_cells, all].map(|text| {
         let findings = check(&text, None).findings;
         findings
             .iter()
@@ -159,16 +161,16 @@
             .collect::<String>()
     });
     expect![[r#"
-        missing-field: category "top-up" repeats within a cell, but server "quote-01.gasan.example.org" does not say its cell
+        missing-field: category "top-up" is deduplicated per cell, but server "quote-01.gasan.example.org" has no cell
         --
-        missing-field: category "top-up" repeats within a cell, but server "quote-07.gasan.example.org" does not say its cell
+        missing-field: category "top-up" is deduplicated per cell, but server "quote-07.gasan.example.org" has no cell
         --
-    "#]].assert_eq(&told.join("--\n"));
+    "#]].assert_eq(&messages.join("--\n"));
 }
 
 #[test]
-fn good_files_pass() {
-    let changed: [(&str, &str); 20] = [
+fn valid_edits_pass() {
+    let edits: [(&str, &str); 20] = [
         ("", ""),
         (
             "[[route]]\nname = \"search\"",
@@ -193,41 +195,41 @@
         ("path = \"/report/{id}\"", "path = \"/report/{id}/**\""),
         ("ttl = \"1s\"", "ttl = \"2s\""),
     ];
-    for (old, new) in changed {
-        let text = GOOD.replacen(old, new, 1);
+    for (old, new) in edits {
+        let text = EXAMPLE.replacen(old, new, 1);
         let checked = check(&text, None);
-        let told: String = checked.findings.iter().map(|finding| finding.render("file", &text)).collect();
-        assert!(checked.config.is_some() && told.is_empty(), "{new:?}:\n{told}");
+        let rendered: String = checked.findings.iter().map(|finding| finding.render("file", &text)).collect();
+        assert!(checked.config.is_some() && rendered.is_empty(), "{new:?}:\n{rendered}");
     }
 }
 
 #[test]
-fn findings_state_position_and_correction() {
-    let text = GOOD
+fn findings_state_position_and_accepted_value() {
+    let text = EXAMPLE
         .replacen("methods = [\"GET\", \"HEAD\"]\n", "", 1)
         .replacen("ttl = \"4s\"\nbenefit", "tll = \"4s\"\nbenefit", 1)
         .replacen("quote-07.gasan.example.org\", address", "quote-07.gasan.exmaple.org\", address", 1);
-    let told: String =
+    let rendered: String =
         check(&text, None).findings.iter().map(|finding| finding.render("sidecar.toml", &text)).collect();
     expect![[r#"
-        error[unknown-field]: category "order" has no field "tll"; "ttl" is near
+        error[unknown-field]: category "order" has no field "tll"; did you mean "ttl"?
           --> sidecar.toml:31:1
         31 | tll = "4s"
              ^^^
-        error[unknown-host]: the server "quote-07.gasan.exmaple.org" is not in the roster; is "quote-07.gasan.example.org" meant?
+        error[unknown-host]: server "quote-07.gasan.exmaple.org" is not in the roster; did you mean "quote-07.gasan.example.org"?
           --> sidecar.toml:42:12
         42 |   { name = "quote-07.gasan.exmaple.org", address = "127.0.0.1:6003", zone = "a", kind = "large", size = 2.0 },
                         ^^^^^^^^^^^^^^^^^^^^^^^^^^^^
-        error[order-retriable]: this route names no methods, so it takes POST and others that are not safe to repeat, but its category "read" may run again (always); name only safe methods, take a category that repeats never, or say in may_repeat_unsafe why it does no harm
+        error[order-retriable]: this route names no methods, so it matches POST and other unsafe methods, but its category "read" allows retries (always); name only safe methods, choose a category with repeats = "never", or state in may_repeat_unsafe why a retry does no harm
           --> sidecar.toml:53:12
         53 | category = "read"
                         ^^^^^^
-    "#]].assert_eq(&told);
+    "#]].assert_eq(&rendered);
 }
 
 #[test]
 fn generated_config_passes_the_check() {
-    let server = doorproxy_config::sidecar::StaticEndpoint {
+    let endpoint = doorproxy_config::sidecar::StaticEndpoint {
         name: "quote \"7\"".to_string(),
         address: "127.0.0.1:6001".parse().unwrap(),
         zone: Some("a".to_string()),
@@ -235,24 +237,24 @@
         kind: "small".to_string(),
         weight: 1.0,
     };
-    let app = "name = \"charts\"\nreads = [\"/quotes/{symbol}\"]\norders = [\"/report/{id}\"]\n";
-    let text = generate(app, std::slice::from_ref(&server)).unwrap();
+    let application = "name = \"charts\"\nreads = [\"/quotes/{symbol}\"]\norders = [\"/report/{id}\"]\n";
+    let text = generate(application, std::slice::from_ref(&endpoint)).unwrap();
     expect![[r##"
-        # Written for charts by doorproxy configure; `doorproxy check` tells whether it still holds.
+        # Generated for charts by doorproxy configure; verify changes with `doorproxy check`.
         name = "charts"
 
-        # Requests that no route takes are answered 404.
+        # Requests that match no route are answered with 404.
         unrouted = "not-found"
 
         [[listen]]
         address = "127.0.0.1:5001"
 
-        # Harmless to repeat: another server is asked where one fails.
+        # Idempotent: a failed request is retried on another server.
         [category.read]
         repeats = "always"
         ttl = "2s"
 
-        # Never sent again once it may have run.
+        # Not idempotent: a request that may have run is never retried.
         [category.order]
         repeats = "never"
         ttl = "4s"
@@ -280,38 +282,38 @@
         pool = "servers"
     "##]]
     .assert_eq(&text);
-    let told =
+    let messages =
         ["name = \"x\"", "name = \"x\"\nreads = [\"/a/../b\"]", "reads = [\"/a\"]\nordres = [\"/b\"]", "= 7"]
-            .map(|app| {
-                let findings = generate(app, std::slice::from_ref(&server)).unwrap_err();
+            .map(|application| {
+                let findings = generate(application, std::slice::from_ref(&endpoint)).unwrap_err();
                 findings
                     .iter()
                     .map(|finding| format!("{}: {}\n", finding.code.name(), finding.message))
                     .collect::<String>()
             });
     expect![[r#"
-        missing-field: the application needs reads or orders: the paths that it asks for
-        route-shadowed: the path "/a/../b" can't win: no request can take it: the path has a segment that is . or ..
-        route-shadowed: the path "/a/../b" can't win: no request can take it: the path has a segment that is . or ..
-        missing-field: the application needs the field name
-        unknown-field: the application has no field "ordres"; "orders" is near
-        not-toml: this is no TOML: unquoted keys cannot be empty, expected letters, numbers, `-`, `_`
-    "#]].assert_eq(&told.concat());
+        missing-field: the application has neither reads nor orders; list the paths that it requests in one of them
+        route-shadowed: path "/a/../b" never matches: requests with this path are rejected: the path has a segment that is . or ..
+        route-shadowed: path "/a/../b" never matches: requests with this path are rejected: the path has a segment that is . or ..
+        missing-field: the application is missing the required field name
+        unknown-field: the application has no field "ordres"; did you mean "orders"?
+        not-toml: the file is not valid TOML: unquoted keys cannot be empty, expected letters, numbers, `-`, `_`
+    "#]].assert_eq(&messages.concat());
 }
 
 #[test]
-fn changes_between_two_files_are_semantic() {
-    let old = check(GOOD, None).config.unwrap();
-    let new = GOOD
+fn changes_describe_the_differences_of_two_files() {
+    let old = check(EXAMPLE, None).config.unwrap();
+    let new = EXAMPLE
         .replacen("repeats = \"deduplicated\"\ngroup = \"zone\"\nwindow = \"5s\"", "repeats = \"always\"", 1)
         .replacen("to = \"3f\"", "to = \"1f\"", 1)
         .replacen("name = \"search\"", "name = \"find\"", 1);
     let new = check(&new, None).config.unwrap();
     expect![[r#"
-        ! category top-up repeats always, before within 5s in the same zone
-        ! pool quotes: keys move to other groups
-          route search is gone: other routes take its requests, or none
-        ! route find is new: read, repeats always"#]]
+        ! category top-up: repeats always, previously within 5s in the same zone
+        ! pool quotes: keys move to other endpoint kinds
+          route search is removed: its requests match other routes or none
+        ! route find is added: category read, repeats always"#]]
     .assert_eq(&old.changes(&new).join("\n"));
     assert_eq!(old.changes(&old), Vec::<String>::new());
 }
@@ -319,13 +321,19 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// No edit of a good file makes the check panic, and what it passes has its routes in order.
+    /// Guards against a panic of the check on any edit of a valid file, against a configuration that is returned
+    /// despite errors, and against one that is missing without any.
     #[test]
-    fn edits_never_panic(at in 0..GOOD.len(), cut in 0..40usize, put in "[ -~\\n\u{e9}]{0,6}") {
-        let from = (0..=at).rev().find(|place| GOOD.is_char_boundary(*place)).unwrap_or(0);
-        let to = (from + cut).min(GOOD.len());
-        let to = (to..=GOOD.len()).find(|place| GOOD.is_char_boundary(*place)).unwrap_or(GOOD.len());
-        let text = format!("{}{put}{}", &GOOD[..from], &GOOD[to..]);
+    fn edits_never_panic(
+        offset in 0..EXAMPLE.len(),
+        removed_len in 0..40usize,
+        inserted in "[ -~\\n\u{e9}]{0,6}",
+    ) {
+        let is_boundary = |offset: &usize| EXAMPLE.is_char_boundary(*offset);
+        let start = (0..=offset).rev().find(is_boundary).unwrap_or(0);
+        let end = (start + removed_len).min(EXAMPLE.len());
+        let end = (end..=EXAMPLE.len()).find(is_boundary).unwrap_or(EXAMPLE.len());
+        let text = format!("{}{inserted}{}", &EXAMPLE[..start], &EXAMPLE[end..]);
         let checked = check(&text, None);
         checked.findings.iter().for_each(|finding| drop(finding.render("file", &text)));
         prop_assert_eq!(checked.config.is_none(), checked.findings.iter().any(|finding| finding.is_error));
