--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,9 +1,10 @@
-//! Membership of a fleet of balancers: which of them run, and how many of them may use a full share of what all may do
-//! together.
+//! Tracks the membership of a fleet of balancers: which of them run, and how many of them may use a full
+//! share of the fleet's common limits.
 //!
-//! The state machines here have no clock, socket or file: the program, the simulated fleets of the tests and the model
-//! checker drive the same code. [`member_list`] is what this process believes of the others, [`registry`] is what may be
-//! relied on, and [`node`] drives both. Load, health and routing of endpoints are no part of this crate.
+//! The state machines use no clock, socket or file, so that the program, the simulated fleets of the tests
+//! and the model checker all drive the same code. [`member_list`] holds what this process believes about the
+//! other nodes, [`registry`] gives counts that are safe to rely on, and [`node`] drives both. The crate does
+//! not handle the load, health or routing of endpoints.
 
 #![warn(missing_docs)]
 
--- a/crates/membership/src/member_list.rs
+++ b/crates/membership/src/member_list.rs
@@ -1,10 +1,12 @@
-//! What this process believes of the other nodes: a member list by SWIM, with suspicion, refutation counts, and Lifeguard's
-//! three adaptations for a node that is itself slow.
+//! The member list: what this process believes about the other nodes. It follows SWIM, with suspicion and
+//! refutation counts, and Lifeguard's three adaptations for a node that is itself slow.
 //!
-//! From "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol" (Das, Gupta, Motivala 2002) and
-//! "Lifeguard: Local Health Awareness for More Accurate Failure Detection" (Dadgar, Phillips, Currey 2018).
+//! Sources: "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol" (Das, Gupta,
+//! Motivala 2002) and "Lifeguard: Local Health Awareness for More Accurate Failure Detection" (Dadgar,
+//! Phillips, Currey 2018).
 //!
-//! Beliefs only. Nothing that could overload an endpoint may rest on them; [`registry`](crate::registry) is for that.
+//! The list holds beliefs, which may be wrong. No decision that could overload an endpoint may depend on
+//! them; use the counts of [`registry`](crate::registry) for that.
 
 mod change;
 mod dissemination;
@@ -20,43 +22,43 @@
 pub use crate::member_list::change::{ChangeCause, MemberChange};
 use crate::message::{Incarnation, MemberState, MemberUpdate, NodeId};
 
-/// Lifeguard's S: the local health multiplier never exceeds it, so that a slow node waits at most 9 times as long.
+/// Limits the local health multiplier (Lifeguard's S), so that a slow node waits at most 9 times as long.
 const MAX_LOCAL_HEALTH: u32 = 8;
 
-/// A member other than this process.
+/// Describes a member other than this process.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// The member's process.
+    /// Identifies the member's process.
     pub incarnation: Incarnation,
-    /// Where it is reached.
+    /// Holds the member's address.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Names the member's zone.
     pub zone: String,
-    /// How often it has refuted.
+    /// Counts the member's refutations.
     pub refutation_count: u32,
-    /// What is believed of it.
+    /// Holds the state that this process believes the member to be in.
     pub state: MemberState,
-    /// Since when that is believed.
+    /// Holds the time when the member entered that state.
     pub state_since: Timestamp,
-    /// The nodes that suspect it.
+    /// Holds the nodes that suspect the member.
     suspected_by: BTreeSet<NodeId>,
-    /// How many more times gossip about it is sent.
+    /// Tells how many more times gossip about the member is sent.
     retransmits_left: u32,
 }
 
 impl Member {
-    /// Whether it is not believed to be dead or to have left.
+    /// Returns whether the member is believed to be neither dead nor to have left.
     fn is_present(&self) -> bool {
         self.state <= MemberState::Suspect
     }
 }
 
-/// A member's name, and where it is reached.
+/// Holds a member's name and address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerAddress {
-    /// The member's name.
+    /// Names the member.
     pub name: String,
-    /// Where it is reached.
+    /// Holds the member's address.
     pub address: SocketAddr,
 }
 
@@ -66,20 +68,20 @@
     }
 }
 
-/// The members of the fleet, as this process believes.
+/// Holds the members of the fleet, as this process believes them to be.
 #[derive(Debug)]
 pub struct MemberList {
     protocol_period: Ticks,
     local: MemberUpdate,
     local_retransmits_left: u32,
     others: BTreeMap<String, Member>,
-    /// Lifeguard's local health multiplier: 0 is healthy, more is slower.
+    /// Holds Lifeguard's local health multiplier: 0 means healthy, and a higher value a slower process.
     pub local_health_multiplier: u32,
     changes: Vec<MemberChange>,
 }
 
 impl MemberList {
-    /// A list that holds this process alone.
+    /// Creates a list that contains only this process.
     pub fn new(local: MemberUpdate, protocol_period: Ticks) -> MemberList {
         let mut list = MemberList {
             protocol_period,
@@ -93,42 +95,43 @@
         list
     }
 
-    /// This process, as gossip describes it.
+    /// Returns this process as gossip describes it.
     pub fn local(&self) -> &MemberUpdate {
         &self.local
     }
 
-    /// This process's incarnation. It may differ from the one in the settings where a wall clock was set back.
+    /// Returns the incarnation of this process. It differs from the one in the settings if the wall clock was
+    /// set back since an earlier process ran.
     pub fn incarnation(&self) -> Incarnation {
         self.local.incarnation
     }
 
-    /// All other members by name, dead ones too.
+    /// Returns all other members by name, including dead ones.
     pub fn others(&self) -> impl Iterator<Item = (&String, &Member)> {
         self.others.iter()
     }
 
-    /// Another member.
+    /// Returns the other member with this name.
     pub fn get(&self, name: &str) -> Option<&Member> {
         self.others.get(name)
     }
 
-    /// The other members that are not believed to be dead or to have left.
+    /// Returns the other members that are believed to be neither dead nor to have left.
     pub fn present(&self) -> impl Iterator<Item = (&String, &Member)> {
         self.others.iter().filter(|(_, member)| member.is_present())
     }
 
-    /// How many members nobody suspects, this process included.
+    /// Returns the number of members in the state `Alive`, including this process.
     pub fn alive_count(&self) -> usize {
         1 + self.others.values().filter(|member| member.state == MemberState::Alive).count()
     }
 
-    /// A waiting time, longer where this process is slow itself (Lifeguard).
+    /// Scales a timeout by the local health multiplier, so that a slow process waits longer (Lifeguard).
     pub fn scaled_by_health(&self, duration: Ticks) -> Ticks {
         duration.mul_f64(f64::from(self.local_health_multiplier + 1))
     }
 
-    /// Lifeguard: a probe of this process has succeeded or failed.
+    /// Adjusts the local health multiplier after a probe by this process has succeeded or failed (Lifeguard).
     pub fn adjust_local_health(&mut self, is_healthy: bool) {
         self.local_health_multiplier = if is_healthy {
             self.local_health_multiplier.saturating_sub(1)
@@ -137,7 +140,7 @@
         };
     }
 
-    /// The changes since the last call.
+    /// Returns the changes since the last call.
     pub(crate) fn take_changes(&mut self) -> Vec<MemberChange> {
         std::mem::take(&mut self.changes)
     }
@@ -154,13 +157,13 @@
         member.suspected_by.clear();
     }
 
-    /// This process stops.
+    /// Marks this process as leaving, so that gossip announces it.
     pub fn leave(&mut self) {
         self.local.state = MemberState::Left;
         self.local_retransmits_left = self.retransmit_limit();
     }
 
-    /// Draws up to `max_count` present members, other than the excluded one.
+    /// Draws up to `max_count` random present members, without the excluded one.
     pub fn sample(&self, rng: &mut Pcg, max_count: usize, excluded: &str) -> Vec<PeerAddress> {
         let mut candidates: Vec<PeerAddress> = self
             .present()
@@ -175,7 +178,8 @@
         drawn
     }
 
-    /// Draws a member that is believed dead. After a network partition nobody else would contact it again.
+    /// Draws a random dead member. After a network partition the two sides believe each other dead, and
+    /// otherwise no node would contact the member again.
     pub fn sample_dead(&self, rng: &mut Pcg) -> Option<PeerAddress> {
         let is_dead = |(_, member): &(&String, &Member)| member.state == MemberState::Dead;
         let dead: Vec<_> = self.others.iter().filter(is_dead).collect();
@@ -185,7 +189,7 @@
     }
 }
 
-/// SWIM scales its constants by the logarithm of the group's size.
+/// Returns the decimal logarithm of the group size, by which SWIM scales its constants, but at least 1.
 fn log_of_size(other_count: usize) -> f64 {
     ((other_count + 1) as f64).log10().max(1.0)
 }
--- a/crates/membership/src/member_list/change.rs
+++ b/crates/membership/src/member_list/change.rs
@@ -1,71 +1,73 @@
-//! Changes of what is believed, for the log.
+//! State changes of members, for the log.
 
 use std::fmt;
 
 use crate::message::MemberState;
 
-/// A change of what is believed of a member.
+/// Describes a change in what is believed about a member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberChange {
-    /// The member's name.
+    /// Names the member.
     pub name: String,
-    /// What is believed now.
+    /// Holds the new state of the member.
     pub state: MemberState,
-    /// Why. Its `Display` is the text for the log.
+    /// Holds the cause of the change; its `Display` is the text for the log.
     pub cause: ChangeCause,
 }
 
-/// Why the belief about a member has changed.
+/// Says why the state of a member has changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeCause {
-    /// It answered neither this process nor those that probed it for this process.
+    /// The member answered neither this process nor the helpers that probed it on its behalf.
     NoAnswer,
-    /// It answered a probe although it is believed dead.
+    /// The member answered a probe although it was believed dead.
     AnsweredWhileDead,
-    /// It was unknown, and `from` sent gossip about it.
+    /// The member was unknown, and `from` sent gossip about it.
     Introduced {
-        /// The sender's name.
+        /// Names the sender of the gossip.
         from: String,
     },
-    /// A later process of it runs, by gossip of `from`.
+    /// A later process of the member runs, as gossip from `from` reports.
     Restarted {
-        /// The sender's name.
+        /// Names the sender of the gossip.
         from: String,
     },
-    /// It refuted what was believed.
+    /// The member refuted what was believed about it.
     Refuted,
-    /// It said that it stops.
+    /// The member announced that it stops.
     Left,
-    /// `from` believes so.
+    /// Gossip from `from` reports the new state.
     Reported {
-        /// The sender's name.
+        /// Names the sender of the gossip.
         from: String,
     },
-    /// It did not refute a suspicion in time.
+    /// The member did not refute a suspicion in time.
     NotRefuted {
-        /// How many nodes suspected it.
+        /// Counts the nodes that suspected the member.
         suspicion_count: usize,
     },
-    /// Its registry rules differ from those of this replica.
+    /// The member's registry rules differ from those of this replica.
     RulesDiffer,
 }
 
 impl fmt::Display for ChangeCause {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            ChangeCause::NoAnswer => write!(formatter, "it did not answer"),
-            ChangeCause::AnsweredWhileDead => write!(formatter, "it answers, and has to refute its death"),
-            ChangeCause::Introduced { from } => write!(formatter, "{from} told of it"),
-            ChangeCause::Restarted { from } => write!(formatter, "it has started anew, {from} says"),
-            ChangeCause::Refuted => write!(formatter, "it says so"),
-            ChangeCause::Left => write!(formatter, "it said goodbye"),
-            ChangeCause::Reported { from } => write!(formatter, "{from} says so"),
+            ChangeCause::NoAnswer => write!(formatter, "it did not answer a probe"),
+            ChangeCause::AnsweredWhileDead => {
+                write!(formatter, "it answered a probe while believed dead and must refute that")
+            }
+            ChangeCause::Introduced { from } => write!(formatter, "reported as a new member by {from}"),
+            ChangeCause::Restarted { from } => write!(formatter, "restarted, as reported by {from}"),
+            ChangeCause::Refuted => write!(formatter, "it refuted the earlier state"),
+            ChangeCause::Left => write!(formatter, "it announced that it stops"),
+            ChangeCause::Reported { from } => write!(formatter, "reported by {from}"),
             ChangeCause::NotRefuted { suspicion_count } => {
-                write!(formatter, "it did not refute, {suspicion_count} suspected it")
+                write!(formatter, "it did not refute the suspicion of {suspicion_count} nodes in time")
             }
             ChangeCause::RulesDiffer => write!(
                 formatter,
-                "its file names other keepers or another cut_after: it gets no standing here"
+                "its keepers, cut_after or drift differ from this replica's, so its heartbeats are ignored"
             ),
         }
     }
--- a/crates/membership/src/member_list/dissemination.rs
+++ b/crates/membership/src/member_list/dissemination.rs
@@ -1,20 +1,21 @@
-//! Dissemination: which updates go with a message.
+//! Dissemination: which updates are piggybacked on a message.
 
 use std::cmp::Reverse;
 
 use super::{Member, MemberList, log_of_size};
 use crate::message::{MAX_UPDATES_PER_SYNC, MemberState, MemberUpdate};
 
-/// How often an update is sent, times the logarithm of the number of members.
+/// Sets how often an update is sent, in multiples of the logarithm of the number of members.
 const RETRANSMIT_FACTOR: f64 = 4.0;
-/// The space for updates in a datagram, in bytes.
+/// Limits the bytes of updates in a datagram.
 const MAX_PIGGYBACK_BYTES: usize = 950;
-/// The most updates with one message. With few of them, updates are lost where a tenth of all datagrams is.
+/// Limits the updates in one message. With a low limit, updates fail to reach all members when a tenth of all
+/// datagrams is lost.
 const MAX_PIGGYBACK_UPDATES: usize = 24;
-/// Bytes of an update on the wire beside its texts, at most.
+/// Bounds the encoded size of an update without its name and zone.
 const MAX_FIXED_UPDATE_BYTES: usize = 40;
 
-/// The most bytes that an update takes on the wire.
+/// Returns an upper bound of the encoded size of an update.
 fn max_encoded_bytes(update: &MemberUpdate) -> usize {
     update.name.len() + update.zone.len() + MAX_FIXED_UPDATE_BYTES
 }
@@ -31,17 +32,17 @@
 }
 
 impl MemberList {
-    /// How often an update is sent in a fleet of the present size.
+    /// Returns how often an update is sent in a fleet of the current size.
     pub(super) fn retransmit_limit(&self) -> u32 {
         (RETRANSMIT_FACTOR * log_of_size(self.others.len())).ceil() as u32
     }
 
-    /// The updates that go with a message to this recipient: first what it is suspected of, so that it can refute
-    /// (Lifeguard's buddy system), then the updates that were sent least often. They count as sent, whether or not the
-    /// message arrives.
+    /// Selects the updates for a message to this recipient. The first is what others suspect about the
+    /// recipient, so that it can refute it (Lifeguard's buddy system); then come the updates that were sent
+    /// least often. The updates count as sent even if the message is lost.
     pub fn next_updates(&mut self, recipient: Option<&str>) -> Vec<MemberUpdate> {
         let mut updates = Vec::new();
-        updates.extend(recipient.and_then(|recipient| self.accusation_of(recipient)));
+        updates.extend(recipient.and_then(|recipient| self.refutable_update_for(recipient)));
         if self.local_retransmits_left > 0 {
             self.local_retransmits_left -= 1;
             updates.push(self.local.clone());
@@ -52,14 +53,14 @@
         updates
     }
 
-    /// What the recipient would want to refute.
-    fn accusation_of(&self, recipient: &str) -> Option<MemberUpdate> {
+    /// Returns the recipient's own entry if it is suspected or believed dead, so that it can refute that.
+    fn refutable_update_for(&self, recipient: &str) -> Option<MemberUpdate> {
         let (name, member) = self.others.get_key_value(recipient)?;
-        let is_accused = matches!(member.state, MemberState::Suspect | MemberState::Dead);
-        is_accused.then(|| update_of(name, member))
+        let is_refutable = matches!(member.state, MemberState::Suspect | MemberState::Dead);
+        is_refutable.then(|| update_of(name, member))
     }
 
-    /// Appends due updates up to the first that does not fit.
+    /// Appends due updates until the first one that does not fit.
     fn take_due_updates(&mut self, mut free_bytes: usize, updates: &mut Vec<MemberUpdate>) {
         for name in self.due_names() {
             let Some(member) = self.others.get_mut(&name) else { continue };
@@ -74,7 +75,7 @@
         }
     }
 
-    /// The members whose updates are due, those sent least often first.
+    /// Returns the members whose updates are due, those sent least often first.
     fn due_names(&self) -> Vec<String> {
         let mut due: Vec<(u32, &String)> = self
             .others
@@ -87,7 +88,7 @@
         due.into_iter().map(|(_, name)| name.clone()).collect()
     }
 
-    /// All present members, this process first, in portions for one message each.
+    /// Returns all present members, this process first, in chunks of one message each.
     pub fn full_state(&self) -> Vec<Vec<MemberUpdate>> {
         let others = self.present().map(|(name, member)| update_of(name, member));
         let all: Vec<MemberUpdate> = std::iter::once(self.local.clone()).chain(others).collect();
--- a/crates/membership/src/member_list/suspicion.rs
+++ b/crates/membership/src/member_list/suspicion.rs
@@ -1,27 +1,28 @@
-//! Suspicion: when a member that does not answer is suspected, and when it is declared dead.
+//! Suspicion: when an unresponsive member becomes suspect, and when it is declared dead.
 
 use doorproxy::ids::{Ticks, Timestamp};
 
 use super::{ChangeCause, Member, MemberList, log_of_size};
 use crate::message::{Incarnation, MemberState, NodeId};
 
-/// The shortest suspicion, in protocol periods times the logarithm of the number of members.
+/// Sets the shortest suspicion timeout, in protocol periods times the logarithm of the number of members.
 const MIN_SUSPICION_FACTOR: f64 = 4.0;
-/// The longest suspicion, in shortest ones.
+/// Sets the longest suspicion timeout, in multiples of the shortest one.
 const MAX_SUSPICION_FACTOR: f64 = 6.0;
-/// With so many independent suspicions the timeout is the shortest.
+/// Sets the number of independent suspicions at which the timeout is shortest.
 pub(super) const INDEPENDENT_SUSPICIONS: usize = 3;
-/// How long a member that is gone is remembered, in protocol periods: late gossip must not bring it back, and the two sides
-/// of a network partition must find each other afterwards.
+/// Sets how long a dead or departed member is remembered, in protocol periods. Without the entry, late gossip
+/// could add the member again, and the two sides of a network partition could not find each other afterwards.
 const DEAD_RETENTION_PERIODS: f64 = 600.0;
 
 impl MemberList {
-    /// The timeout of a suspicion, shorter the more nodes suspect independently (Lifeguard's LHA-Suspicion).
+    /// Returns the timeout of a suspicion, which is shorter the more nodes suspect the member independently
+    /// (Lifeguard's LHA-Suspicion).
     fn suspicion_timeout(&self, member: &Member) -> Ticks {
         let min_timeout = self
             .scaled_by_health(self.protocol_period)
             .mul_f64(MIN_SUSPICION_FACTOR * log_of_size(self.others.len()));
-        // A small fleet has fewer nodes that could confirm, and waits for no more than there are.
+        // A small fleet has fewer nodes that could confirm a suspicion, so no more are expected than exist.
         let max_suspicions = INDEPENDENT_SUSPICIONS.min(self.others.len().saturating_sub(1));
         if max_suspicions < 2 {
             return min_timeout;
@@ -32,7 +33,7 @@
         min_timeout.mul_f64(factor.max(1.0))
     }
 
-    /// A member has answered neither this process nor those that probed it for this process.
+    /// Suspects a member that has answered neither this process nor its helpers.
     pub fn suspect(&mut self, now: Timestamp, name: &str) {
         let Some(member) = self.others.get(name) else { return };
         if member.state == MemberState::Alive {
@@ -46,10 +47,10 @@
         }
     }
 
-    /// A member has answered a probe of this process.
+    /// Handles a member's answer to a probe of this process.
     ///
-    /// A dead one becomes suspect, so that it hears of it and refutes. A suspicion stands until the member itself refutes
-    /// it, so that all nodes come to believe the same.
+    /// A dead member becomes suspect, so that it learns of this through gossip and refutes it. A suspicion
+    /// remains until the member itself refutes it, so that the beliefs of all nodes converge.
     pub fn on_ack(&mut self, now: Timestamp, name: &str, incarnation: Incarnation) {
         let Some(member) = self.others.get(name) else { return };
         if member.incarnation == incarnation && member.state == MemberState::Dead {
@@ -57,7 +58,8 @@
         }
     }
 
-    /// Declares members dead whose suspicion has timed out, and forgets those that have been gone for long.
+    /// Declares members dead whose suspicion has timed out, and removes those that have been dead or gone for
+    /// longer than `DEAD_RETENTION_PERIODS`.
     pub fn expire(&mut self, now: Timestamp) {
         for name in self.timed_out_suspects(now) {
             let suspicion_count = self.others[&name].suspected_by.len().max(1);
--- a/crates/membership/src/member_list/update.rs
+++ b/crates/membership/src/member_list/update.rs
@@ -1,4 +1,4 @@
-//! How gossip changes what is believed.
+//! Applies gossip to the member list.
 
 use std::collections::BTreeSet;
 
@@ -8,11 +8,11 @@
 use super::{ChangeCause, Member, MemberChange, MemberList};
 use crate::message::{Incarnation, MemberState, MemberUpdate, NodeId};
 
-/// No more members than this are accepted; no fleet is as large.
+/// Limits the number of other members; no fleet is that large.
 const MAX_MEMBERS: usize = 4000;
 
 impl MemberList {
-    /// Applies gossip that the node `from` has sent.
+    /// Applies an update that the node `from` has sent.
     pub fn apply_update(&mut self, now: Timestamp, from: &str, update: &MemberUpdate) {
         if update.name == self.local.name {
             return self.apply_local_update(update);
@@ -26,8 +26,8 @@
         if update.incarnation > known.incarnation {
             return self.apply_restart(now, from, update);
         }
-        if overrides(update, known) {
-            self.apply_belief(now, from, update);
+        if supersedes(update, known) {
+            self.apply_state(now, from, update);
         }
         if update.state == MemberState::Suspect {
             self.add_suspicion(from, update);
@@ -35,7 +35,8 @@
     }
 
     fn add_member(&mut self, now: Timestamp, from: &str, update: &MemberUpdate) {
-        // A member that is gone and was never known is not worth gossip.
+        // Dead or departed members that were never known are not added, since there is nothing to spread
+        // about them.
         let is_present = update.state <= MemberState::Suspect;
         if !is_present || self.others.len() >= MAX_MEMBERS {
             return;
@@ -55,7 +56,8 @@
         self.changes.push(MemberChange { name: update.name.clone(), state: update.state, cause });
     }
 
-    /// A restarted process is another member: what was believed of the earlier one says nothing of it.
+    /// Replaces a member by its restarted process. What was believed about the earlier process does not apply
+    /// to the new one.
     fn apply_restart(&mut self, now: Timestamp, from: &str, update: &MemberUpdate) {
         if let Some(known) = self.others.get_mut(&update.name) {
             known.incarnation = update.incarnation;
@@ -67,7 +69,7 @@
         self.set_state(now, &update.name, update.state, cause);
     }
 
-    fn apply_belief(&mut self, now: Timestamp, from: &str, update: &MemberUpdate) {
+    fn apply_state(&mut self, now: Timestamp, from: &str, update: &MemberUpdate) {
         if let Some(known) = self.others.get_mut(&update.name) {
             known.refutation_count = update.refutation_count;
             known.address = update.address;
@@ -80,7 +82,7 @@
         self.set_state(now, &update.name, update.state, cause);
     }
 
-    /// An independent suspicion is counted, and is worth gossip again (Lifeguard).
+    /// Counts an independent suspicion and sends gossip about the member again (Lifeguard).
     fn add_suspicion(&mut self, from: &str, update: &MemberUpdate) {
         let retransmit_limit = self.retransmit_limit();
         let Some(known) = self.others.get_mut(&update.name) else { return };
@@ -92,10 +94,11 @@
         }
     }
 
-    /// Gossip about this process itself, which refutes what is wrong.
+    /// Handles gossip about this process, and refutes it where it is wrong.
     fn apply_local_update(&mut self, update: &MemberUpdate) {
         if update.incarnation > self.local.incarnation {
-            // The wall clock was set back since an earlier process, so this one takes a number above that one's.
+            // The wall clock was set back since an earlier process ran, so this process takes a number above
+            // that of the earlier one.
             self.local.incarnation = Incarnation(update.incarnation.0 + 1);
             self.local.refutation_count = 0;
             self.local_retransmits_left = self.retransmit_limit();
@@ -112,9 +115,10 @@
     }
 }
 
-/// SWIM's order of beliefs about one process: a higher refutation count overrides, and with the same count the worse belief
-/// does. A dead member needs a higher count to come back, and one that has left never does.
-fn overrides(update: &MemberUpdate, known: &Member) -> bool {
+/// Returns whether an update replaces the known state of the same process, by SWIM's order: a higher
+/// refutation count wins, and at the same count the worse state wins. A dead member needs a higher count to
+/// return, and a member that has left never returns.
+fn supersedes(update: &MemberUpdate, known: &Member) -> bool {
     let is_newer = update.refutation_count > known.refutation_count;
     let is_as_new = update.refutation_count >= known.refutation_count;
     match (update.state, known.state) {
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,7 +1,8 @@
-//! The messages between nodes. On the wire they are in postcard encoding, so the order of variants and fields is the format.
+//! Messages between nodes. They are encoded with postcard, so the order of variants and fields is the wire
+//! format.
 //!
-//! A response repeats the nonce of its request, and the requester dates what it learns from when it sent that request. So no
-//! age rests on a clock of another node.
+//! A response repeats the nonce of its request. The requester measures the age of what it learns from the
+//! time at which it sent the request, so no age depends on the clock of another node.
 
 use std::net::SocketAddr;
 
@@ -9,100 +10,103 @@
 
 pub use crate::ids::{Incarnation, NodeId, Nonce};
 
-/// How many updates go into one message of a full state.
+/// Limits the updates in one message of a full-state transfer.
 pub const MAX_UPDATES_PER_SYNC: usize = 8;
-/// How many nodes of a registry snapshot go into one message, so that it fits into a datagram.
+/// Limits the nodes of a registry snapshot in one message, so that it fits into a datagram.
 pub const MAX_NODES_PER_CHUNK: usize = 100;
-/// A snapshot of more chunks is ignored; no fleet is as large.
+/// Limits the chunks of a snapshot. Snapshots with more chunks are ignored; no fleet is that large.
 pub const MAX_SNAPSHOT_CHUNKS: u16 = 40;
 
-/// What a node believes of a member. The order is part of the protocol: up to `Suspect` a member counts as present.
+/// Describes what a node believes about a member. The order is part of the protocol: members up to `Suspect`
+/// count as present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It runs.
+    /// The member runs.
     Alive,
-    /// It did not answer, and may still refute that it is dead.
+    /// The member did not answer a probe and can still refute the suspicion.
     Suspect,
-    /// It did not refute in time.
+    /// The member did not refute a suspicion in time.
     Dead,
-    /// It said that it stops.
+    /// The member announced that it stops.
     Left,
 }
 
-/// What a node believes of a member, as gossip carries it.
+/// Carries one node's belief about a member in gossip.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// The member's name.
+    /// Names the member.
     pub name: String,
-    /// The member's process.
+    /// Identifies the member's process.
     pub incarnation: Incarnation,
-    /// Where the member is reached.
+    /// Holds the address of the member.
     pub address: SocketAddr,
-    /// The member's zone.
+    /// Names the member's zone.
     pub zone: String,
-    /// Raised by the member alone, to refute what is believed of it.
+    /// Counts the refutations of the member. Only the member itself raises it, to refute what others believe
+    /// about it.
     pub refutation_count: u32,
-    /// What is believed.
+    /// Holds the state that the sender believes the member to be in.
     pub state: MemberState,
 }
 
-/// The content of an [`Envelope`].
+/// Holds the content of an [`Envelope`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// A direct probe.
+    /// Probes the recipient directly.
     Ping(Nonce),
-    /// Answers a [`Message::Ping`], directly or through a helper.
+    /// Answers a [`Message::Ping`], directly or through a helper that relayed the ping.
     Ack(Nonce),
-    /// Asks the recipient to probe the named member.
+    /// Asks the recipient, a helper, to probe the named member on behalf of the sender.
     IndirectPing(Nonce, String),
-    /// Answers a [`Message::IndirectPing`] whose member has not answered. It shows that the path to the helper works.
+    /// Answers a [`Message::IndirectPing`] whose target has not answered. It shows that the network path to
+    /// the helper works.
     Nack(Nonce),
     /// Asks for all members that the recipient knows.
     Join,
     /// Renews the sender's entry at a registry replica.
     Heartbeat {
-        /// Repeated by the response.
+        /// Identifies the heartbeat; the response repeats it.
         nonce: Nonce,
-        /// [`RegistryRules::fingerprint`](crate::registry::RegistryRules::fingerprint) of the sender.
+        /// Holds the sender's [`RegistryRules::fingerprint`](crate::registry::RegistryRules::fingerprint).
         rules_fingerprint: u64,
-        /// The version of the replica's snapshot that the sender has; 0 for none.
+        /// Holds the version of the replica's snapshot that the sender has, or 0 if it has none.
         known_version: u64,
     },
-    /// Answers a [`Message::Heartbeat`] with part of the replica's entries.
+    /// Answers a [`Message::Heartbeat`] with one chunk of the replica's snapshot.
     RegistrySnapshot {
-        /// The heartbeat's.
+        /// Holds the nonce of the heartbeat.
         nonce: Nonce,
-        /// The version of the snapshot.
+        /// Holds the version of the snapshot.
         version: u64,
-        /// The number of this chunk, from 0.
+        /// Holds the index of this chunk, counted from 0.
         chunk: u16,
-        /// The number of chunks of the snapshot.
+        /// Holds the number of chunks of the snapshot.
         chunk_count: u16,
-        /// The nodes of this chunk.
+        /// Lists the nodes of this chunk.
         nodes: Vec<NodeId>,
     },
-    /// Answers a [`Message::Heartbeat`] whose known version is the present one.
+    /// Answers a [`Message::Heartbeat`] whose `known_version` is the replica's current version.
     RegistryUnchanged {
-        /// The heartbeat's.
+        /// Holds the nonce of the heartbeat.
         nonce: Nonce,
-        /// The version of the snapshot.
+        /// Holds the version of the snapshot.
         version: u64,
     },
-    /// Answers a [`Message::Heartbeat`] at a replica that has started too recently to know all nodes.
+    /// Answers a [`Message::Heartbeat`] while the replica has not run long enough to know all nodes.
     InGracePeriod(Nonce),
-    /// The sender stops, and uses no share from now on.
+    /// Announces that the sender stops and uses no share from now on.
     Leave,
 }
 
-/// One datagram's content.
+/// Holds the content of one datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The sender's name.
+    /// Names the sender.
     pub sender: String,
-    /// The sender's process.
+    /// Identifies the sender's process.
     pub incarnation: Incarnation,
-    /// What it says.
+    /// Holds the message itself.
     pub message: Message,
-    /// Gossip carried along.
+    /// Holds the membership updates that are piggybacked on the message.
     pub updates: Vec<MemberUpdate>,
 }
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -1,9 +1,10 @@
-//! One node of the fleet: the [member list](crate::member_list) and the [registry](crate::registry), driven by messages and
-//! by time.
+//! One node of the fleet: its [member list](crate::member_list) and its part in the
+//! [registry](crate::registry), driven by messages and by time.
 //!
-//! Whoever runs a node sends what it hands to [`Effects`], passes on what arrives, and calls [`MembershipNode::tick`] at the
-//! time that the last call returned. What a node sends is bounded: a fixed number of probes a period, and one response to a
-//! request, in several messages where it is long.
+//! The driver of a node carries out what the node asks of [`Effects`], passes received messages to
+//! [`MembershipNode::on_message`], and calls [`MembershipNode::tick`] at the time that the last call
+//! returned. The traffic of a node is bounded: it sends a fixed number of probes per period, and one response
+//! per request, which is split into several messages if it is long.
 
 mod estimate;
 mod heartbeat;
@@ -26,51 +27,52 @@
 use crate::registry::{MembershipLease, NodeCount, RegistryReplica, RegistryRules};
 pub use crate::settings::MembershipSettings;
 
-/// How many members are told directly that this node leaves, beside the replicas.
+/// Limits the members that are told directly that this node leaves, in addition to the replicas.
 const LEAVE_FANOUT: usize = 3;
-/// The nonce of an acknowledgement that answers no ping but carries part of a full state.
+/// Marks an acknowledgement that answers no ping but carries part of a full state.
 const FULL_STATE_NONCE: Nonce = Nonce(0);
 
-/// The sender of a message.
+/// Describes the sender of a message.
 struct Peer {
     name: String,
     incarnation: Incarnation,
     address: SocketAddr,
 }
 
-/// One node of the fleet.
+/// Runs one node of the fleet.
 pub struct MembershipNode {
     settings: MembershipSettings,
     registry_rules: RegistryRules,
     rng: Pcg,
     member_list: MemberList,
     lease: MembershipLease,
-    /// Only where this node is a registry replica.
+    /// Is `Some` if this node is a registry replica.
     replica: Option<RegistryReplica>,
     probe: Option<OutstandingProbe>,
-    /// The members yet to be probed in the present round.
+    /// Holds the members that are still to be probed in the current round.
     probe_order: VecDeque<String>,
     period_count: u64,
     next_period_at: Timestamp,
     next_heartbeat_at: Timestamp,
     last_nonce: u64,
-    /// By the nonce of the ping that was sent.
+    /// Holds the pings sent on behalf of other members, by the nonce of the ping.
     relayed_pings: BTreeMap<Nonce, RelayedPing>,
     partial_snapshots: PartialSnapshots,
-    /// The largest number of nodes that was counted or believed in since the last reliable count.
-    max_seen: u32,
+    /// Holds the largest number of nodes, counted or present in the member list, since the last reliable
+    /// count.
+    max_observed_count: u32,
     has_left: bool,
-    /// Nodes with other registry rules. Each is reported once.
+    /// Holds the nodes with other registry rules that were reported, so that each is reported once.
     mismatched_nodes: BTreeSet<String>,
 }
 
 impl MembershipNode {
-    /// A node that starts now. All random choices follow from the seed.
+    /// Creates a node that starts now. All its random choices are derived from the seed.
     pub fn new(now: Timestamp, seed: u64, settings: MembershipSettings) -> MembershipNode {
         let registry_rules = settings.registry_rules();
         let local_node = NodeId::from_name(&settings.name);
         let mut rng = Pcg::new(seed);
-        // Spreads the periods of a fleet whose nodes all restart at once.
+        // Spreads the first probes of a fleet whose nodes all restart at once.
         let first_period = settings.protocol_period.mul_f64(rng.next_f64());
         let first_nonce = u64::from(rng.next_u32()) << 32 | u64::from(rng.next_u32());
         let replica = settings.is_registry_replica().then(|| RegistryReplica::new(now, settings.incarnation));
@@ -86,7 +88,7 @@
             last_nonce: first_nonce,
             relayed_pings: BTreeMap::new(),
             partial_snapshots: PartialSnapshots::default(),
-            max_seen: 0,
+            max_observed_count: 0,
             has_left: false,
             mismatched_nodes: BTreeSet::new(),
             rng,
@@ -95,32 +97,32 @@
         }
     }
 
-    /// What this node believes of the others.
+    /// Returns the member list, which holds what this node believes about the others.
     pub fn member_list(&self) -> &MemberList {
         &self.member_list
     }
 
-    /// The membership lease of this node.
+    /// Returns the membership lease of this node.
     pub fn lease(&self) -> &MembershipLease {
         &self.lease
     }
 
-    /// The rules of the registry.
+    /// Returns the rules of the registry.
     pub fn registry_rules(&self) -> &RegistryRules {
         &self.registry_rules
     }
 
-    /// The settings with which the node started.
+    /// Returns the settings of the node.
     pub fn settings(&self) -> &MembershipSettings {
         &self.settings
     }
 
-    /// Whether [`MembershipNode::leave`] was called.
+    /// Returns whether [`MembershipNode::leave`] was called.
     pub fn has_left(&self) -> bool {
         self.has_left
     }
 
-    /// How many nodes may use full shares. `None` where no number can be relied on.
+    /// Returns how many nodes may use full shares, or `None` if no count is reliable now.
     pub fn node_count(&self, now: Timestamp) -> Option<NodeCount> {
         if self.has_left {
             return None;
@@ -142,7 +144,8 @@
         }
     }
 
-    /// Sends a message with the updates that are due. The recipient's name, where known, selects those that concern it.
+    /// Sends a message with the updates that are due. If the recipient's name is known, updates that concern
+    /// it are included.
     fn send(
         &mut self,
         effects: &mut impl Effects,
@@ -152,7 +155,7 @@
     ) {
         let mut updates =
             if carries_updates(&message) { self.member_list.next_updates(recipient) } else { Vec::new() };
-        // Whoever is asked for all members has to learn of this one, whether or not its update is still due.
+        // The recipient of a `Join` must learn of this node even if its own update is no longer due.
         let is_introduced = updates.iter().any(|update| update.name == self.settings.name);
         if message == Message::Join && !is_introduced {
             updates.push(self.member_list.local().clone());
@@ -160,14 +163,14 @@
         effects.send(address, self.envelope(message, updates));
     }
 
-    /// Sends all members that are known, in as many messages as that takes.
+    /// Sends all known present members, split into as many messages as necessary.
     fn send_full_state(&mut self, effects: &mut impl Effects, address: SocketAddr) {
         for updates in self.member_list.full_state() {
             effects.send(address, self.envelope(Message::Ack(FULL_STATE_NONCE), updates));
         }
     }
 
-    /// An authentic message of this cluster has arrived from this address.
+    /// Handles an authenticated message of this cluster that arrived from the address `from`.
     pub fn on_message(
         &mut self,
         now: Timestamp,
@@ -185,7 +188,8 @@
         let peer = Peer { name: sender, incarnation, address: from };
         let is_unknown = self.member_list.get(&peer.name).is_none();
         if is_unknown && matches!(message, Message::Ping(_)) {
-            // All gossip about the sender may have been lost, since each update is sent only so often.
+            // All gossip about the sender may have been lost, because each update is sent a limited number of
+            // times.
             self.send(effects, peer.address, Some(&peer.name), Message::Join);
         }
         self.dispatch(now, &peer, message, effects);
@@ -219,7 +223,7 @@
         }
     }
 
-    /// Lets time pass. Returns when to be called next.
+    /// Performs all work that is due. Returns the time of the next call.
     pub fn tick(&mut self, now: Timestamp, effects: &mut impl Effects) -> Timestamp {
         if self.has_left {
             return now + self.settings.protocol_period;
@@ -246,7 +250,7 @@
         [probe, relayed_ping].into_iter().flatten().fold(next, Timestamp::min)
     }
 
-    /// The node stops: it uses no share from now on, and says so to the replicas and to a few members.
+    /// Stops the node: it uses no share from now on, and announces this to the replicas and to a few members.
     pub fn leave(&mut self, effects: &mut impl Effects) {
         if self.has_left {
             return;
@@ -256,7 +260,7 @@
         let members = self.member_list.sample(&mut self.rng, LEAVE_FANOUT, "");
         let replicas =
             self.settings.registry_replicas.iter().filter(|(name, _)| **name != self.settings.name);
-        // In the order of addresses, and each of them once.
+        // The set removes duplicates and makes the order of the messages deterministic.
         let mut recipients: BTreeSet<SocketAddr> = replicas.map(|(_, address)| *address).collect();
         recipients.extend(members.into_iter().map(|member| member.address));
         for address in recipients {
@@ -265,8 +269,9 @@
     }
 }
 
-/// Messages to and from replicas carry no updates. Replicas exchange so many messages that they would use up the few
-/// transmissions of each update, and nobody else would get it.
+/// Returns whether updates are piggybacked on a message. Heartbeats and their responses carry none: replicas
+/// exchange so many of them that they would use up the limited transmissions of each update, and other
+/// members would not receive it.
 fn carries_updates(message: &Message) -> bool {
     !matches!(
         message,
--- a/crates/membership/src/node/heartbeat.rs
+++ b/crates/membership/src/node/heartbeat.rs
@@ -8,22 +8,23 @@
 use crate::message::{MAX_NODES_PER_CHUNK, MAX_SNAPSHOT_CHUNKS, MemberState, Message};
 use crate::registry::ReplicaSnapshot;
 
-/// How many heartbeats are sent within the duration of a lease.
+/// Sets how many heartbeats are sent within the duration of a lease.
 const HEARTBEATS_PER_LEASE: f64 = 6.0;
-/// The interval of heartbeats is drawn from this range, in intervals.
+/// Sets the smallest factor by which the heartbeat interval is scaled; the factor is drawn at random.
 const MIN_HEARTBEAT_JITTER: f64 = 0.9;
+/// Sets the width of the range of that factor.
 const HEARTBEAT_JITTER_RANGE: f64 = 0.2;
-/// How many nodes with other registry rules are reported.
+/// Limits the nodes that are reported for their different registry rules.
 const MAX_MISMATCHED_NODES: usize = 16;
 
-/// The content of [`Message::Heartbeat`].
+/// Holds the content of a [`Message::Heartbeat`].
 pub(super) struct Heartbeat {
     pub nonce: Nonce,
     pub rules_fingerprint: u64,
     pub known_version: u64,
 }
 
-/// The content of [`Message::RegistrySnapshot`].
+/// Holds the content of a [`Message::RegistrySnapshot`].
 pub(super) struct SnapshotChunk {
     pub nonce: Nonce,
     pub version: u64,
@@ -32,7 +33,7 @@
     pub nodes: Vec<NodeId>,
 }
 
-/// The replica's side.
+/// Handles messages as a registry replica.
 impl MembershipNode {
     pub(super) fn on_heartbeat(
         &mut self,
@@ -42,7 +43,8 @@
         effects: &mut impl Effects,
     ) {
         let Some(replica) = &mut self.replica else { return };
-        // Nodes with other rules could form a majority that shares no replica with this one's.
+        // Nodes with other rules could form a majority that has no replica in common with this node's
+        // majority.
         if heartbeat.rules_fingerprint != self.registry_rules.fingerprint() {
             return self.report_rules_mismatch(&peer.name, effects);
         }
@@ -97,7 +99,7 @@
     }
 }
 
-/// The node's side.
+/// Sends heartbeats to the replicas and handles their responses.
 impl MembershipNode {
     pub(super) fn schedule_heartbeat(&mut self, now: Timestamp) {
         let interval = self.settings.lease_duration.mul_f64(1.0 / HEARTBEATS_PER_LEASE);
@@ -112,7 +114,7 @@
             let nonce = self.next_nonce();
             self.lease.on_heartbeat_sent(now, replica, nonce);
             if name == self.settings.name {
-                self.renew_locally(now, replica, nonce);
+                self.record_local_heartbeat(now, replica, nonce);
                 continue;
             }
             let known_version = self.lease.known_version(replica);
@@ -121,8 +123,8 @@
         }
     }
 
-    /// This node is a replica itself.
-    fn renew_locally(&mut self, now: Timestamp, local_node: NodeId, nonce: Nonce) {
+    /// Records this node's heartbeat at its own replica, without a message.
+    fn record_local_heartbeat(&mut self, now: Timestamp, local_node: NodeId, nonce: Nonce) {
         let Some(replica) = &mut self.replica else { return };
         replica.expire(now, &self.registry_rules);
         replica.record(now, local_node, self.settings.incarnation);
--- a/crates/membership/src/node/partial_snapshots.rs
+++ b/crates/membership/src/node/partial_snapshots.rs
@@ -1,14 +1,14 @@
-//! Registry snapshots of which some chunks have arrived.
+//! Assembles registry snapshots from chunks.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use super::heartbeat::SnapshotChunk;
 use crate::ids::{NodeId, Nonce};
 
-/// The oldest of more incomplete snapshots is dropped.
+/// Limits the incomplete snapshots; beyond it the oldest one is dropped.
 const MAX_PARTIAL_SNAPSHOTS: usize = 16;
 
-/// One snapshot of one replica.
+/// Identifies one snapshot of one replica.
 #[derive(PartialEq, Eq)]
 struct SnapshotKey {
     replica: NodeId,
@@ -21,14 +21,14 @@
     chunks: BTreeMap<u16, Vec<NodeId>>,
 }
 
-/// The incomplete snapshots, the oldest first.
+/// Holds the incomplete snapshots, the oldest first.
 #[derive(Default)]
 pub(super) struct PartialSnapshots {
     snapshots: VecDeque<PartialSnapshot>,
 }
 
 impl PartialSnapshots {
-    /// Adds a chunk. Returns the nodes of its snapshot once that is complete.
+    /// Adds a chunk. Returns the nodes of its snapshot once all chunks have arrived.
     pub fn add(&mut self, replica: NodeId, chunk: SnapshotChunk) -> Option<BTreeSet<NodeId>> {
         let key = SnapshotKey { replica, nonce: chunk.nonce, version: chunk.version };
         let position = self.position_or_insert(key);
--- a/crates/membership/src/node/probe.rs
+++ b/crates/membership/src/node/probe.rs
@@ -1,4 +1,4 @@
-//! Probes of other members: direct, through helpers, and on behalf of others.
+//! Probes of other members: directly, through helpers, and on behalf of other members.
 
 use std::net::SocketAddr;
 
@@ -9,23 +9,24 @@
 use crate::member_list::PeerAddress;
 use crate::message::{MemberState, Message};
 
-/// How many helpers probe a member that did not answer.
+/// Limits the helpers that probe a member that did not answer.
 const INDIRECT_PROBES: usize = 3;
-/// How long a direct probe may take before helpers are asked, in protocol periods.
+/// Sets how long a direct probe waits for its answer before helpers are asked, in protocol periods.
 const DIRECT_PROBE_RATIO: f64 = 0.3;
-/// In every so many periods a member that is believed dead, or a known address, is asked for all members.
+/// Sets the interval, in protocol periods, at which a dead member or a configured address is sent a `Join`.
 const RECONNECT_PERIODS: u64 = 5;
-/// How many pings are outstanding on behalf of others; further ones are refused.
+/// Limits the outstanding pings on behalf of other members; further requests are ignored.
 const MAX_RELAYED_PINGS: usize = 64;
 
-/// The probe of the present period.
+/// Holds the probe of the current period.
 pub(super) struct OutstandingProbe {
     nonce: Nonce,
     name: String,
-    /// When helpers are asked. `None` once they were.
+    /// Holds the time when helpers are asked, or `None` once they were asked.
     indirect_at: Option<Timestamp>,
     fails_at: Timestamp,
-    /// Helpers that have sent neither an acknowledgement nor a refusal; 1 for the member itself where there are none.
+    /// Counts the helpers that have sent neither an `Ack` nor a `Nack`. It is 1, for the probed member
+    /// itself, while no helper was asked.
     missing_replies: usize,
 }
 
@@ -35,7 +36,7 @@
     }
 }
 
-/// A ping that was sent on behalf of another member.
+/// Describes a ping that was sent on behalf of another member.
 pub(super) struct RelayedPing {
     requester_nonce: Nonce,
     requester: SocketAddr,
@@ -72,7 +73,8 @@
         self.send(effects, target.address, Some(&target.name), Message::Ping(nonce));
     }
 
-    /// Each member in turn, in an order drawn anew for each round, so that a death is detected within a round (SWIM).
+    /// Returns the next member to probe. Each round visits all members in a new random order, so that a
+    /// failure is detected within a round (SWIM).
     fn next_probe_target(&mut self) -> Option<PeerAddress> {
         if let Some(target) = self.next_present_in_round() {
             return Some(target);
@@ -122,8 +124,8 @@
 
     fn fail_probe(&mut self, now: Timestamp) {
         let Some(probe) = self.probe.take() else { return };
-        // Lifeguard: a helper that did not even refuse is evidence that this node's own network is at fault. Where all of
-        // them refused, the member is.
+        // A helper that sent not even a `Nack` suggests that this node's own network is at fault. If all
+        // helpers sent one, the fault lies with the member (Lifeguard).
         for _ in 0..probe.missing_replies {
             self.member_list.adjust_local_health(false);
         }
@@ -136,7 +138,7 @@
         }
         let Some(probe) = self.probe.take_if(|probe| probe.nonce == nonce) else { return };
         self.member_list.adjust_local_health(true);
-        // A helper acknowledges in its own name, which says nothing of the member's incarnation.
+        // A helper's `Ack` carries the helper's incarnation and says nothing about that of the probed member.
         if probe.name == peer.name {
             self.member_list.on_ack(now, &peer.name, peer.incarnation);
         }
@@ -168,7 +170,7 @@
         self.send(effects, address, Some(target), Message::Ping(nonce));
     }
 
-    /// Refuses the requests whose members have not answered.
+    /// Sends a `Nack` for each relayed ping whose target has not answered in time.
     pub(super) fn expire_relayed_pings(&mut self, now: Timestamp, effects: &mut impl Effects) {
         let is_expired = |_: &Nonce, ping: &mut RelayedPing| ping.expires_at <= now;
         let expired: Vec<RelayedPing> =
@@ -178,7 +180,7 @@
         }
     }
 
-    /// The seeds and replicas, without this node's own address.
+    /// Returns the addresses of the seeds and replicas, without this node's own address.
     fn known_addresses(&self) -> Vec<SocketAddr> {
         let replicas = self.settings.registry_replicas.values();
         let addresses = self.settings.seeds.iter().chain(replicas).copied();
@@ -191,7 +193,8 @@
         }
     }
 
-    /// After a network partition, members that are believed dead and known addresses may be reachable again.
+    /// Contacts a dead member or a configured address, since either may be reachable again after a network
+    /// partition.
     fn reconnect(&mut self, effects: &mut impl Effects) {
         if let Some(member) = self.member_list.sample_dead(&mut self.rng) {
             return self.send(effects, member.address, Some(&member.name), Message::Join);
--- a/crates/membership/src/outgoing.rs
+++ b/crates/membership/src/outgoing.rs
@@ -1,23 +1,23 @@
-//! What a state machine gives its driver: messages to send and the time of the next call.
+//! The results that a state machine returns to its driver: messages to send and the time of the next call.
 
 use doorproxy::ids::Timestamp;
 
 use crate::message::NodeId;
 
-/// A message and its recipient, by default a node.
+/// Pairs a message with its recipient, which is a node unless `A` is another type.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingMessage<M, A = NodeId> {
-    /// The recipient, which may be the sending node itself.
+    /// Holds the recipient, which may be the sending node itself.
     pub to: A,
-    /// The message without its envelope.
+    /// Holds the message without its envelope.
     pub message: M,
 }
 
-/// The result of letting time pass.
+/// Holds the result of a call of `tick`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TickResult<M, A = NodeId> {
-    /// Messages to send, in this order.
+    /// Lists the messages to send, in this order.
     pub outgoing: Vec<OutgoingMessage<M, A>>,
-    /// When to call `tick` again at the latest.
+    /// Holds the latest time for the next call of `tick`.
     pub next_tick_at: Timestamp,
 }
--- a/crates/membership/src/registry/lease.rs
+++ b/crates/membership/src/registry/lease.rs
@@ -1,4 +1,4 @@
-//! The node's side of the registry: its membership lease, and how many nodes it counts.
+//! The node's side of the registry: its membership lease, and the number of nodes that it counts.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -7,10 +7,10 @@
 use super::RegistryRules;
 use crate::ids::{NodeId, Nonce};
 
-/// How many heartbeats to a replica are remembered for their responses.
+/// Limits the heartbeats per replica that are remembered to match responses.
 const MAX_PENDING_HEARTBEATS: usize = 16;
 
-/// A snapshot as it was received from a replica.
+/// Holds a snapshot that was received from a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct RegistrySnapshot {
     requested_at: Timestamp,
@@ -18,68 +18,70 @@
     nodes: BTreeSet<NodeId>,
 }
 
-/// A heartbeat that may still be answered.
+/// Describes a heartbeat that may still be answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct PendingHeartbeat {
     nonce: Nonce,
     sent_at: Timestamp,
 }
 
-/// What is known from one replica.
+/// Holds what this node has received from one replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct ReplicaView {
-    /// The oldest first. A response does not remove its heartbeat, since the chunks of one snapshot share a nonce.
+    /// Holds the pending heartbeats, the oldest first. A response does not remove its heartbeat, because all
+    /// chunks of a snapshot repeat the same nonce.
     pending: VecDeque<PendingHeartbeat>,
-    /// When the latest heartbeat was sent that the replica has answered.
+    /// Holds the time when the latest heartbeat was sent that the replica has answered.
     acknowledged_at: Option<Timestamp>,
     snapshot: Option<RegistrySnapshot>,
 }
 
-/// What a node has from one replica.
+/// Shows what a node has received from one replica.
 pub struct ReplicaStatus<'a> {
-    /// The replica.
+    /// Identifies the replica.
     pub replica: NodeId,
-    /// How long ago the latest heartbeat was sent that it has answered.
+    /// Tells how long ago the latest heartbeat was sent that the replica has answered.
     pub acknowledged_age: Option<Ticks>,
-    /// Its latest snapshot.
+    /// Holds the replica's latest snapshot.
     pub snapshot: Option<SnapshotStatus<'a>>,
 }
 
-/// A snapshot that a node has from a replica.
+/// Shows a snapshot that a node has received from a replica.
 #[derive(Clone, Copy)]
 pub struct SnapshotStatus<'a> {
-    /// How long ago it was requested.
+    /// Tells how long ago the snapshot was requested.
     pub age: Ticks,
-    /// The nodes in it.
+    /// Holds the nodes of the snapshot.
     pub nodes: &'a BTreeSet<NodeId>,
 }
 
-/// How many nodes may use full shares.
+/// Bounds the number of nodes that may use full shares.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NodeCount {
-    /// No more nodes than this use a full share, this one included.
+    /// Holds the largest possible number of nodes that use a full share, including this one.
     pub upper_bound: u32,
-    /// Until when that holds, by this process's clock.
+    /// Holds the time until which the bound is valid, by this process's clock.
     pub valid_until: Timestamp,
 }
 
-/// The membership lease of one node, held by the acknowledgements of a majority of replicas.
+/// Represents the membership lease of one node, held while a majority of replicas has acknowledged recent
+/// heartbeats.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembershipLease {
     local_node: NodeId,
     replicas: BTreeMap<NodeId, ReplicaView>,
-    /// Since when the lease has been held without a break.
+    /// Holds the time when the current uninterrupted period of the lease began.
     held_since: Option<Timestamp>,
 }
 
 impl MembershipLease {
-    /// A lease that is not held yet.
+    /// Creates a lease that is not held yet.
     pub fn new(local_node: NodeId, rules: &RegistryRules) -> MembershipLease {
         let replicas = rules.replicas.iter().map(|&replica| (replica, ReplicaView::default())).collect();
         MembershipLease { local_node, replicas, held_since: None }
     }
 
-    /// A heartbeat is about to be sent to a replica.
+    /// Records a heartbeat that is about to be sent to a replica.
     pub fn on_heartbeat_sent(&mut self, now: Timestamp, replica: NodeId, nonce: Nonce) {
         let Some(view) = self.replicas.get_mut(&replica) else { return };
         if view.pending.len() >= MAX_PENDING_HEARTBEATS {
@@ -88,20 +90,22 @@
         view.pending.push_back(PendingHeartbeat { nonce, sent_at: now });
     }
 
-    /// The version of the replica's snapshot that this node has; 0 for none.
+    /// Returns the version of the replica's snapshot that this node has, or 0 if it has none.
     pub fn known_version(&self, replica: NodeId) -> u64 {
         let snapshot = self.replicas.get(&replica).and_then(|view| view.snapshot.as_ref());
         snapshot.map_or(0, |snapshot| snapshot.version)
     }
 
-    /// When the heartbeat of this nonce was sent to the replica. `None` where it was not, or long ago.
+    /// Returns when the heartbeat with this nonce was sent to the replica, or `None` if there was none or it
+    /// is no longer remembered.
     pub fn requested_at(&self, replica: NodeId, nonce: Nonce) -> Option<Timestamp> {
         let view = self.replicas.get(&replica)?;
         let heartbeat = view.pending.iter().find(|heartbeat| heartbeat.nonce == nonce)?;
         Some(heartbeat.sent_at)
     }
 
-    /// A replica has recorded a heartbeat, as any response to it shows. It counts from when the heartbeat was sent.
+    /// Handles an acknowledgement: any response shows that the replica has recorded the heartbeat. It counts
+    /// from when the heartbeat was sent.
     pub fn on_acknowledged(&mut self, now: Timestamp, replica: NodeId, nonce: Nonce, rules: &RegistryRules) {
         let Some(requested_at) = self.requested_at(replica, nonce) else { return };
         let was_held = self.is_held(now, rules);
@@ -115,7 +119,7 @@
         }
     }
 
-    /// A replica has sent a complete snapshot. One requested earlier than the present one is ignored.
+    /// Stores a complete snapshot of a replica, unless the known one was requested later.
     pub fn on_snapshot(&mut self, replica: NodeId, nonce: Nonce, version: u64, nodes: BTreeSet<NodeId>) {
         let Some(requested_at) = self.requested_at(replica, nonce) else { return };
         let Some(view) = self.replicas.get_mut(&replica) else { return };
@@ -125,7 +129,7 @@
         }
     }
 
-    /// A replica has answered that its snapshot of this version is still the present one.
+    /// Renews the known snapshot of a replica after its response that this version is still current.
     pub fn on_unchanged(&mut self, replica: NodeId, nonce: Nonce, version: u64) {
         let Some(requested_at) = self.requested_at(replica, nonce) else { return };
         let Some(view) = self.replicas.get_mut(&replica) else { return };
@@ -135,14 +139,14 @@
         }
     }
 
-    /// A replica has restarted, so that its earlier snapshot says nothing any more.
+    /// Discards the snapshot of a replica that has restarted, because it is no longer valid.
     pub fn discard_snapshot(&mut self, replica: NodeId) {
         if let Some(view) = self.replicas.get_mut(&replica) {
             view.snapshot = None;
         }
     }
 
-    /// What this node has from each replica, and how old that is.
+    /// Returns what this node has received from each replica, and how old it is.
     pub fn replica_statuses(&self, now: Timestamp) -> impl Iterator<Item = ReplicaStatus<'_>> {
         self.replicas.iter().map(move |(replica, view)| ReplicaStatus {
             replica: *replica,
@@ -154,12 +158,13 @@
         })
     }
 
-    /// How long the lease has been held, provided that it is held now. `None` where it never was.
+    /// Returns the time since the lease was last acquired, which is how long it has been held if it is held
+    /// now. Returns `None` if it was never held.
     pub fn held_for(&self, now: Timestamp) -> Option<Ticks> {
         self.held_since.map(|since| now - since)
     }
 
-    /// When the lease expires unless more heartbeats are acknowledged.
+    /// Returns when the lease expires unless more heartbeats are acknowledged.
     pub fn expires_at(&self, rules: &RegistryRules) -> Option<Timestamp> {
         majority_expiry(rules, self.replicas.values().filter_map(|view| view.acknowledged_at))
     }
@@ -168,7 +173,7 @@
         self.expires_at(rules).is_some_and(|expires_at| now < expires_at)
     }
 
-    /// How many nodes may use full shares. `None` where no number can be relied on.
+    /// Returns how many nodes may use full shares, or `None` if no count is reliable now.
     pub fn node_count(&self, now: Timestamp, rules: &RegistryRules) -> Option<NodeCount> {
         let lease_expires_at = self.expires_at(rules).filter(|expires_at| now < *expires_at)?;
         if now - self.held_since? < rules.retention() {
@@ -192,7 +197,7 @@
     }
 }
 
-/// Until when a majority of these requests is younger than the lease's duration.
+/// Returns the time until which a majority of these requests is younger than the duration of a lease.
 fn majority_expiry(
     rules: &RegistryRules,
     requested_at: impl Iterator<Item = Timestamp>,
--- a/crates/membership/src/registry/replica.rs
+++ b/crates/membership/src/registry/replica.rs
@@ -1,4 +1,4 @@
-//! The replica's side of the registry.
+//! The replica's side of the registry: the record of the nodes that send heartbeats.
 
 use std::collections::BTreeMap;
 
@@ -7,44 +7,46 @@
 use super::RegistryRules;
 use crate::ids::{Incarnation, NodeId};
 
-/// No more nodes than this are recorded; no fleet is as large.
+/// Limits the recorded nodes; no fleet is that large.
 const MAX_NODES: usize = 4000;
-/// A replica's versions start at its incarnation shifted by so many bits, so that two processes never share one.
+/// Sets the number of bits by which the incarnation is shifted to give a replica's first version, so that two
+/// processes of a replica never use the same version.
 const INCARNATION_SHIFT: u32 = 20;
 
-/// The last heartbeat of a node.
+/// Describes the last heartbeat of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct RegistryEntry {
     incarnation: Incarnation,
     heard_at: Timestamp,
 }
 
-/// The nodes that one replica has heard from.
+/// Holds the nodes from which one replica has received heartbeats.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegistryReplica {
     started_at: Timestamp,
     entries: BTreeMap<NodeId, RegistryEntry>,
-    /// Raised whenever the set of nodes changes.
+    /// Grows whenever the set of nodes changes.
     version: u64,
 }
 
-/// All nodes that a replica knows at one time.
+/// Holds all nodes that a replica knows at one time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaSnapshot {
-    /// Differs for each set of nodes, also from those of other processes of the replica.
+    /// Identifies the set of nodes. It is also different from the versions of other processes of the replica.
     pub version: u64,
-    /// The nodes, in ascending order.
+    /// Lists the nodes in ascending order.
     pub nodes: Vec<NodeId>,
 }
 
 impl RegistryReplica {
-    /// A replica whose process, of this incarnation, starts now.
+    /// Creates a replica whose process, of this incarnation, starts now.
     pub fn new(now: Timestamp, incarnation: Incarnation) -> RegistryReplica {
         let version = incarnation.0 << INCARNATION_SHIFT;
         RegistryReplica { started_at: now, entries: BTreeMap::new(), version }
     }
 
-    /// Records a heartbeat. `false` where the replica is full; the node must not be acknowledged then.
+    /// Records a heartbeat. Returns `false` if the replica is full, in which case the node must not be
+    /// acknowledged.
     pub fn record(&mut self, now: Timestamp, node: NodeId, incarnation: Incarnation) -> bool {
         if let Some(entry) = self.entries.get_mut(&node) {
             entry.incarnation = entry.incarnation.max(incarnation);
@@ -59,7 +61,8 @@
         true
     }
 
-    /// A process of a node has said that it stops. A late message of an earlier process changes nothing.
+    /// Removes a node after one of its processes announced that it stops. A late message of an earlier
+    /// process has no effect.
     pub fn remove(&mut self, node: NodeId, incarnation: Incarnation) {
         if self.entries.get(&node).is_some_and(|entry| entry.incarnation <= incarnation) {
             self.entries.remove(&node);
@@ -67,7 +70,7 @@
         }
     }
 
-    /// Drops the nodes that have been silent for longer than [`RegistryRules::retention`].
+    /// Removes the nodes from which no heartbeat has arrived for longer than [`RegistryRules::retention`].
     pub fn expire(&mut self, now: Timestamp, rules: &RegistryRules) {
         let count_before = self.entries.len();
         self.entries.retain(|_, entry| now - entry.heard_at <= rules.retention());
@@ -76,17 +79,18 @@
         }
     }
 
-    /// The nodes, and how long ago each was last heard from.
+    /// Returns the nodes, each with the time since its last heartbeat.
     pub fn ages(&self, now: Timestamp) -> impl Iterator<Item = (NodeId, Ticks)> {
         self.entries.iter().map(move |(node, entry)| (*node, now - entry.heard_at))
     }
 
-    /// How long ago the replica started.
+    /// Returns how long ago the replica started.
     pub fn age(&self, now: Timestamp) -> Ticks {
         now - self.started_at
     }
 
-    /// The nodes that it knows. `None` in the grace period after its start, since it may not know all.
+    /// Returns the known nodes, or `None` in the grace period after the start, while the replica may not know
+    /// all nodes.
     pub fn snapshot(&self, now: Timestamp, rules: &RegistryRules) -> Option<ReplicaSnapshot> {
         if self.age(now) <= rules.retention() {
             return None;
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a node.
+//! Settings of a membership node.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,31 +9,32 @@
 use crate::message::{MemberState, MemberUpdate};
 use crate::registry::RegistryRules;
 
-/// The settings with which a node starts. They do not change while it runs.
+/// Holds the settings of a node, which do not change while it runs.
 #[derive(Clone, Debug)]
 pub struct MembershipSettings {
-    /// The node's name, unique in the fleet.
+    /// Names the node, uniquely in the fleet.
     pub name: String,
-    /// The node's process.
+    /// Identifies the node's process.
     pub incarnation: Incarnation,
-    /// Where other nodes reach it.
+    /// Sets the address at which other nodes reach this node.
     pub advertised_address: SocketAddr,
-    /// Its zone.
+    /// Names the node's zone.
     pub zone: String,
-    /// Addresses at which other nodes may be found before any is known.
+    /// Lists the addresses that the node contacts to find other members.
     pub seeds: Vec<SocketAddr>,
-    /// The registry replicas by name, with their addresses.
+    /// Maps the name of each registry replica to its address.
     pub registry_replicas: BTreeMap<String, SocketAddr>,
-    /// How often a member is probed.
+    /// Sets the time between two probes of members.
     pub protocol_period: Ticks,
-    /// How long a membership lease lasts.
+    /// Sets how long a membership lease lasts after a heartbeat.
     pub lease_duration: Ticks,
-    /// By what ratio the rates of two nodes' clocks may differ.
+    /// Bounds the ratio by which the rates of two nodes' clocks differ.
     pub clock_drift_ratio: f64,
-    /// The configured number of nodes, which bounds the shares where nothing better can be relied on.
+    /// Sets the configured number of nodes. It determines the node's share while no reliable count is
+    /// available.
     pub configured_count: u32,
-    /// The part of what all may do together that is reserved for nodes without a lease. `None` reserves none, and the share
-    /// then never exceeds the one by `configured_count`.
+    /// Sets the ratio of the common limit that is reserved for nodes without a lease. With `None` nothing is
+    /// reserved, and a share never exceeds the limit divided by `configured_count`.
     pub reserve_ratio: Option<f64>,
 }
 
