--- a/crates/fleet-health/src/byte_budget.rs
+++ b/crates/fleet-health/src/byte_budget.rs
@@ -1,6 +1,6 @@
-//! How much still fits one datagram.
+//! Counts the bytes that still fit into a datagram.
 
-/// The bytes that are left.
+/// Holds the number of bytes that are left.
 pub(crate) struct ByteBudget {
     remaining: usize,
 }
@@ -10,7 +10,7 @@
         ByteBudget { remaining: bytes }
     }
 
-    /// Takes this many bytes where they are left.
+    /// Takes this many bytes if they are left. Returns whether it did.
     pub(crate) fn try_take(&mut self, bytes: usize) -> bool {
         let fits = bytes <= self.remaining;
         if fits {
--- a/crates/fleet-health/src/fault_reports/client.rs
+++ b/crates/fleet-health/src/fault_reports/client.rs
@@ -1,4 +1,5 @@
-//! A balancer's client of the collectors: it sends its own reports and weighs those of others.
+//! The client of a balancer: it sends the balancer's own reports to the collectors and weighs those of
+//! others.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,39 +12,40 @@
 use super::{MAX_REPORT_BYTES, MAX_REPORTS_PER_REPORTER};
 use crate::byte_budget::ByteBudget;
 
-/// How many requests are sent in the lifetime of a report.
+/// Sets how many requests are sent per collector within the lifetime of a report.
 const REQUESTS_PER_LIFETIME: f64 = 10.0;
-/// The weight of reports from which an endpoint is suspected.
+/// Sets the weight of reports from which an endpoint is suspected.
 const SUSPICION_THRESHOLD: f64 = 0.9;
-/// Added to the weight of reports from more than one zone: they reach the endpoint by different networks.
+/// Is added to the weight of reports from more than one zone, because they reach the endpoint over different
+/// networks.
 const CROSS_ZONE_BONUS: f64 = 0.25;
-/// A reporter of more than this ratio of all endpoints is taken to be faulty itself.
-const MAX_ACCUSED_RATIO: f64 = 0.34;
-/// The largest ratio of all endpoints that is suspected at a time.
+/// Sets the ratio of all endpoints above which a reporter is assumed to be faulty itself.
+const MAX_REPORTED_RATIO: f64 = 0.34;
+/// Limits the ratio of all endpoints that are suspected at a time.
 const MAX_SUSPECTED_RATIO: f64 = 0.25;
-/// An incarnation is a time in milliseconds, and its nonces start at that time shifted by these bits: a million nonces fit into
-/// each millisecond.
+/// Sets the number of bits for the nonces of an incarnation. An incarnation is a time in milliseconds, and
+/// its nonces start at that time shifted by these bits, so a million nonces fit into each millisecond.
 const NONCE_BITS_PER_INCARNATION: u32 = 20;
 
-/// An endpoint that is to be put on probation.
+/// Describes an endpoint that is to be put on probation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SuspectedEndpoint {
-    /// The endpoint.
+    /// Identifies the endpoint.
     pub endpoint: EndpointIncarnation,
-    /// No later than when the latest evidence was found.
+    /// Holds a time no later than that of the latest evidence.
     pub evidence_at: Timestamp,
 }
 
-/// A report of another balancer, for operators.
+/// Shows a report of another balancer, for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReportStatus<'a> {
-    /// The endpoint.
+    /// Identifies the endpoint.
     pub endpoint: &'a EndpointIncarnation,
-    /// The balancer that reported it.
+    /// Identifies the balancer that made the report.
     pub reporter: NodeId,
-    /// An upper bound on the age of the latest evidence.
+    /// Bounds the age of the latest evidence from above.
     pub age: Ticks,
-    /// The trust in the reporter, between 0 and 1.
+    /// Holds the trust in the reporter, between 0 and 1.
     pub trust: f64,
 }
 
@@ -63,30 +65,31 @@
     suspect: SuspectedEndpoint,
 }
 
-/// The reports of one balancer, its own and those of others.
+/// Holds the reports of one balancer, its own and those of others.
 pub struct ReportClient {
     report_lifetime: Ticks,
     zone: NodeId,
     collectors: Vec<NodeId>,
-    /// No later than when the latest own evidence against each endpoint was found.
+    /// Maps each endpoint to a time no later than that of the latest own evidence against it.
     own_evidence: BTreeMap<EndpointIncarnation, Timestamp>,
     last_nonce: u64,
     pending: BTreeMap<Nonce, PendingRequest>,
-    /// The number of each collector's last response.
+    /// Holds the number of each collector's last response.
     last_numbers: BTreeMap<NodeId, Nonce>,
-    /// By endpoint and reporter.
+    /// Holds the reports of others, by endpoint and reporter.
     received: BTreeMap<EndpointIncarnation, BTreeMap<NodeId, ReceivedReport>>,
     trust: ReporterTrust,
     next_request_at: Timestamp,
 }
 
-/// A ratio of `count`, rounded down, but at least one.
+/// Returns `ratio` times `count`, rounded down, but at least one.
 fn at_least_one_of(count: usize, ratio: f64) -> usize {
     (count as f64 * ratio).floor().max(1.0) as usize
 }
 
 impl ReportClient {
-    /// A client that knows of no reports. The nonces of two incarnations of a process differ; `zone` is the hash of its name.
+    /// Creates a client without reports. Two incarnations of a process never use the same nonces. `zone` is
+    /// the hash of the zone's name.
     pub fn new(
         now: Timestamp,
         incarnation: u64,
@@ -108,12 +111,13 @@
         }
     }
 
-    /// Sets the endpoints that are ejected by own evidence, each with a time no later than when the latest was found.
+    /// Sets the endpoints that are ejected on own evidence, each with a time no later than that of the latest
+    /// evidence.
     pub fn set_own_evidence(&mut self, evidence: impl IntoIterator<Item = (EndpointIncarnation, Timestamp)>) {
         self.own_evidence = evidence.into_iter().take(MAX_REPORTS_PER_REPORTER).collect();
     }
 
-    /// Sends its reports to all collectors where that is due.
+    /// Sends the own reports to all collectors if that is due.
     pub fn tick(&mut self, now: Timestamp) -> TickResult<Message> {
         if now < self.next_request_at {
             return TickResult { outgoing: Vec::new(), next_tick_at: self.next_request_at };
@@ -134,7 +138,7 @@
         TickResult { outgoing, next_tick_at: self.next_request_at }
     }
 
-    /// Own reports in the order of endpoints, as many as fit one datagram.
+    /// Returns own reports in the order of endpoints, as many as fit into one datagram.
     fn own_reports(&self, now: Timestamp) -> Vec<FaultReport> {
         let mut budget = ByteBudget::new(MAX_REPORT_BYTES);
         let reports = self.own_evidence.iter().map(|(endpoint, found_at)| FaultReport {
@@ -144,7 +148,8 @@
         reports.take_while(|report| budget.try_take(report.max_encoded_bytes())).collect()
     }
 
-    /// Handles the response of a collector. One that answers no pending request to it is ignored.
+    /// Handles the response of a collector, and ignores it if it answers no pending request to that
+    /// collector.
     pub fn on_response(&mut self, now: Timestamp, local_node: NodeId, from: NodeId, response: &Message) {
         let Message::Response { nonce, number, reports } = response else { return };
         let request = self.pending.remove(nonce).filter(|request| request.collector == from);
@@ -155,7 +160,8 @@
         }
     }
 
-    /// Records a report that came with the response to a request of `sent_at`. The latest evidence counts.
+    /// Records a report from the response to a request that was sent at `sent_at`. Of several reports by one
+    /// reporter, the latest evidence counts.
     fn record_report(&mut self, now: Timestamp, sent_at: Timestamp, attributed: &AttributedReport) {
         let AttributedReport { reporter, zone, report } = attributed;
         let evidence_at = sent_at - Ticks(report.age_ticks.max(0));
@@ -168,13 +174,14 @@
         known.evidence_at = known.evidence_at.max(evidence_at);
     }
 
-    /// The endpoints whose reports have enough weight, those with the most first. `endpoint_count` is the number of all endpoints.
+    /// Returns the endpoints whose reports have enough weight, those with the greatest weight first.
+    /// `endpoint_count` is the number of all endpoints.
     pub fn suspected_endpoints(&mut self, now: Timestamp, endpoint_count: usize) -> Vec<SuspectedEndpoint> {
         self.drop_expired(now);
-        let accusations = self.accusations_by_reporter();
-        // Where there are few endpoints, a report of one of them is no report of all.
-        let max_accused = at_least_one_of(endpoint_count, MAX_ACCUSED_RATIO);
-        let is_credible = |reporter: &NodeId| accusations[reporter] <= max_accused;
+        let reported_counts = self.reported_endpoint_counts();
+        // The limit is at least one, so that in a small fleet of endpoints a report about one of them counts.
+        let max_reported = at_least_one_of(endpoint_count, MAX_REPORTED_RATIO);
+        let is_credible = |reporter: &NodeId| reported_counts[reporter] <= max_reported;
         let mut suspects: Vec<WeightedSuspect> = self
             .received
             .iter()
@@ -187,7 +194,7 @@
         suspects.into_iter().map(|suspect| suspect.suspect).collect()
     }
 
-    /// The weight of an endpoint's reports; `None` where no reporter is credible.
+    /// Returns an endpoint with the weight of its reports, or `None` if no reporter is credible.
     fn weigh(
         &self,
         endpoint: &EndpointIncarnation,
@@ -210,21 +217,22 @@
         self.received.retain(|_, reports| !reports.is_empty());
     }
 
-    /// How many endpoints each reporter has reported.
-    fn accusations_by_reporter(&self) -> BTreeMap<NodeId, usize> {
-        let mut accusations: BTreeMap<NodeId, usize> = BTreeMap::new();
+    /// Returns how many endpoints each reporter has reported.
+    fn reported_endpoint_counts(&self) -> BTreeMap<NodeId, usize> {
+        let mut counts: BTreeMap<NodeId, usize> = BTreeMap::new();
         for reporter in self.received.values().flat_map(BTreeMap::keys) {
-            *accusations.entry(*reporter).or_default() += 1;
+            *counts.entry(*reporter).or_default() += 1;
         }
-        accusations
+        counts
     }
 
-    /// The trust in a reporter, between 0 and 1.
+    /// Returns the trust in a reporter, between 0 and 1.
     pub fn trust_in(&self, reporter: NodeId) -> f64 {
         self.trust.of(reporter)
     }
 
-    /// Records what an own attempt has shown of a reported endpoint. The reports of a healthy one are forgotten.
+    /// Records the result of an own attempt at a reported endpoint. If the endpoint is healthy, its reports
+    /// are discarded.
     pub fn record_outcome(&mut self, endpoint: &EndpointIncarnation, is_unhealthy: bool) {
         let Some(reports) = self.received.get(endpoint) else { return };
         for reporter in reports.keys() {
@@ -235,7 +243,7 @@
         }
     }
 
-    /// The reports of others that have not expired.
+    /// Returns the reports of others that have not expired.
     pub fn received_reports(&self, now: Timestamp) -> impl Iterator<Item = ReportStatus<'_>> {
         self.received.iter().flat_map(move |(endpoint, reports)| {
             let reports = reports.iter().map(move |(reporter, report)| ReportStatus {
--- a/crates/fleet-health/src/fault_reports/collector.rs
+++ b/crates/fleet-health/src/fault_reports/collector.rs
@@ -1,4 +1,4 @@
-//! The collector: it keeps what each balancer reported last, and tells the others.
+//! The collector: it keeps the last reports of each balancer and passes them to the others.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,9 +9,9 @@
 use super::{MAX_BALANCERS, MAX_REPORT_BYTES, MAX_REPORTS_PER_REPORTER};
 use crate::byte_budget::ByteBudget;
 
-/// The most reporters that are told of one endpoint: further ones change nothing.
+/// Limits the reporters that are passed on per endpoint, since further ones do not change the outcome.
 const MAX_REPORTERS_PER_ENDPOINT: usize = 6;
-/// How many of the last numbers issued to a balancer are kept.
+/// Sets how many of the last numbers issued to a balancer are kept.
 const MAX_ISSUED_NUMBERS: usize = 3;
 
 struct IssuedNumber {
@@ -21,7 +21,7 @@
 
 struct Evidence {
     endpoint: EndpointIncarnation,
-    /// No later than when the latest evidence was found.
+    /// Holds a time no later than that of the latest evidence.
     found_at: Timestamp,
 }
 
@@ -30,7 +30,7 @@
     evidence: Vec<Evidence>,
 }
 
-/// What each balancer reported last.
+/// Holds the last reports of each balancer.
 #[derive(Default)]
 pub struct ReportCollector {
     last_number: u64,
@@ -39,8 +39,8 @@
 }
 
 impl ReportCollector {
-    /// Records the reports of a request where they can be dated, and answers it. `None` for a message that is not a request, and
-    /// where there are too many balancers.
+    /// Records the reports of a request if they can be dated, and answers the request. Returns `None` if the
+    /// message is not a request, or if there are too many balancers.
     pub fn respond(
         &mut self,
         now: Timestamp,
@@ -75,7 +75,8 @@
         Some(issued.issued_at)
     }
 
-    /// The reports were made after `issued_at`, so the evidence is no older than their ages before it.
+    /// Records the reports of a request. They were made after `issued_at`, so subtracting each report's age
+    /// from `issued_at` gives a time no later than that of its evidence.
     fn record_reports(
         &mut self,
         reporter: NodeId,
@@ -108,7 +109,8 @@
         self.reports.retain(|_, record| !record.evidence.is_empty());
     }
 
-    /// The latest evidence first, a few reports of each endpoint, as many as fit one datagram.
+    /// Returns the reports of others, the latest evidence first: a few per endpoint, and as many as fit into
+    /// one datagram.
     fn reports_of_others(
         &mut self,
         now: Timestamp,
--- a/crates/fleet-health/src/fault_reports/messages.rs
+++ b/crates/fleet-health/src/fault_reports/messages.rs
@@ -1,70 +1,70 @@
-//! The messages between report clients and collectors.
+//! Messages between report clients and collectors.
 //!
-//! They travel as postcard: the order of fields and variants is part of the wire format.
+//! They are encoded with postcard, so the order of fields and variants is the wire format.
 
 use doorproxy_membership::message::{NodeId, Nonce};
 use serde::{Deserialize, Serialize};
 
-/// What an encoded report takes beyond the endpoint's name, at the most.
+/// Bounds the encoded size of a report without the endpoint's name.
 const REPORT_OVERHEAD_BYTES: usize = 36;
 
-/// One start of an endpoint: a report says nothing about the next one.
+/// Identifies one process of an endpoint. A report about it does not apply to the process that replaces it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EndpointIncarnation {
-    /// The endpoint's name in the endpoint list.
+    /// Names the endpoint as in the endpoint list.
     pub name: String,
-    /// When it started by the endpoint list, in milliseconds.
+    /// Holds the start time that the endpoint list gives, in milliseconds.
     pub started_ms: i64,
 }
 
-/// Says that an endpoint is unhealthy, by attempts of the reporter that failed.
+/// Reports that an endpoint is unhealthy, because attempts of the reporter failed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FaultReport {
-    /// The endpoint.
+    /// Identifies the endpoint.
     pub endpoint: EndpointIncarnation,
-    /// An upper bound on the age of the latest evidence, in tenths of a millisecond.
+    /// Bounds the age of the latest evidence from above, in tenths of a millisecond.
     pub age_ticks: i64,
 }
 
 impl FaultReport {
-    /// What it takes in a datagram, at the most, also with its reporter and zone.
+    /// Returns an upper bound of the report's size in a datagram, including its reporter and zone.
     pub(super) fn max_encoded_bytes(&self) -> usize {
         self.endpoint.name.len() + REPORT_OVERHEAD_BYTES
     }
 }
 
-/// A report and who made it.
+/// Holds a report and its reporter.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttributedReport {
-    /// The balancer that made it.
+    /// Identifies the balancer that made the report.
     pub reporter: NodeId,
-    /// The hash of the reporter's zone.
+    /// Holds the hash of the reporter's zone.
     pub zone: NodeId,
-    /// The report.
+    /// Holds the report.
     pub report: FaultReport,
 }
 
-/// A message between a balancer and a collector.
+/// Represents a message between a balancer and a collector.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// What a balancer reports.
+    /// Sends a balancer's reports to a collector.
     Request {
-        /// Repeated by the response.
+        /// Identifies the request; the response repeats it.
         nonce: Nonce,
-        /// The number of the collector's last response, by which it dates the reports.
+        /// Holds the number of the collector's last response, by which the collector dates the reports.
         last_number: Option<Nonce>,
-        /// The hash of the balancer's zone.
+        /// Holds the hash of the balancer's zone.
         zone: NodeId,
-        /// The balancer's own reports.
+        /// Holds the balancer's own reports.
         reports: Vec<FaultReport>,
     },
-    /// What other balancers have reported.
+    /// Answers a request with the reports of other balancers.
     Response {
-        /// The nonce of the request.
+        /// Holds the nonce of the request.
         nonce: Nonce,
-        /// The number for the next request.
+        /// Holds the number that the next request returns.
         number: Nonce,
-        /// Reports of others, the latest evidence first.
+        /// Holds the reports of others, those with the latest evidence first.
         reports: Vec<AttributedReport>,
     },
 }
--- a/crates/fleet-health/src/fault_reports/trust.rs
+++ b/crates/fleet-health/src/fault_reports/trust.rs
@@ -1,4 +1,4 @@
-//! How much a balancer trusts each reporter, by how often its reports were right.
+//! The trust of a balancer in each reporter, by how often the reporter's reports were right.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +6,10 @@
 
 use super::MAX_BALANCERS;
 
-/// The trust in a reporter whose reports were never checked, between 0 and 1.
+/// Sets the trust in a reporter whose reports were never checked, between 0 and 1.
 const INITIAL_TRUST: f64 = 0.5;
 
-/// Trust by reporter.
+/// Holds the trust in each reporter.
 #[derive(Default)]
 pub(super) struct ReporterTrust {
     trust: BTreeMap<NodeId, f64>,
@@ -20,7 +20,7 @@
         self.trust.get(&reporter).copied().unwrap_or(INITIAL_TRUST)
     }
 
-    /// Moves the trust half of the way to 1 where the reporter was right, else to 0.
+    /// Moves the trust half of the way to 1 if the reporter was right, otherwise half of the way to 0.
     pub(super) fn record(&mut self, reporter: NodeId, was_right: bool) {
         if self.trust.len() >= MAX_BALANCERS && !self.trust.contains_key(&reporter) {
             return;
--- a/crates/fleet-health/src/gossip.rs
+++ b/crates/fleet-health/src/gossip.rs
@@ -1,8 +1,9 @@
-//! How overrides reach every balancer: a new one is pushed to a few at once, and each balancer compares digests with another
-//! one every period and exchanges what differs, in both directions.
+//! Spreads overrides to every balancer. A new override is pushed to a few balancers at once. In every period
+//! each balancer also compares digests with another one, and the two exchange the entries that differ, in
+//! both directions.
 //!
-//! The work is constant where nothing is new. Overrides are ordered by their content alone, so one that was delayed, duplicated
-//! or reordered does no harm, however often it comes.
+//! The work per period is constant while nothing changes. Overrides are ordered by their content alone, so
+//! delayed, duplicated or reordered messages do no harm.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -16,68 +17,71 @@
     DIGEST_BUCKETS, Digests, ENTRY_OVERHEAD_BYTES, MAX_NAME_BYTES, OverrideEntry, OverrideRegister,
 };
 
-/// To how many balancers a new override is pushed at once.
+/// Sets to how many balancers a new override is pushed at once.
 const PUSH_FANOUT: usize = 3;
-/// How many entries are pushed at once; the others follow by the comparison of digests.
+/// Limits the entries that are pushed at once; the others follow through the comparison of digests.
 const MAX_PUSHED_ENTRIES: usize = 4;
-/// The most bytes that an entry takes.
+/// Bounds the encoded size of an entry.
 const MAX_ENTRY_BYTES: usize = MAX_NAME_BYTES + ENTRY_OVERHEAD_BYTES;
-/// Bytes of entries in one datagram, with room for the digests.
+/// Limits the bytes of entries in one datagram, which leaves room for the digests.
 const MAX_BYTES_PER_DATAGRAM: usize = 800;
-/// A balancer with the same overrides counts as in sync for this many periods for each other balancer.
-const AGREEMENT_PERIODS: f64 = 3.0;
-/// The smallest factor of the jitter on a period.
+/// Sets how long a peer counts as in sync after its digests matched, in periods per other balancer.
+const IN_SYNC_PERIODS: f64 = 3.0;
+/// Sets the smallest factor by which the period is scaled; the factor is drawn at random.
 const PERIOD_JITTER_MIN: f64 = 0.8;
-/// The width of the jitter on a period, above its smallest factor.
+/// Sets the width of the range of that factor.
 const PERIOD_JITTER_WIDTH: f64 = 0.4;
 
-/// A message between two balancers. They travel as postcard: the order of fields and variants is part of the wire format.
+/// Represents a message between two balancers. It is encoded with postcard, so the order of fields and variants is
+/// the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks for what differs.
+    /// Asks for the entries that differ.
     DigestRequest {
-        /// The digests of the sender's overrides.
+        /// Holds the digests of the sender's overrides.
         digests: Digests,
     },
-    /// The response to a digest request.
+    /// Answers a [`Message::DigestRequest`].
     DigestResponse {
-        /// The digests of the responder's overrides.
+        /// Holds the digests of the responder's overrides.
         digests: Digests,
-        /// The responder's entries in buckets that differ.
+        /// Holds the responder's entries in buckets that differ.
         entries: Vec<OverrideEntry>,
     },
-    /// Entries that the recipient lacks or has older ones of; no response is expected.
+    /// Sends entries that the recipient lacks or has older versions of. No response is expected.
     Push {
-        /// The entries.
+        /// Holds the entries.
         entries: Vec<OverrideEntry>,
     },
 }
 
-/// Messages about overrides and the addresses that they are for.
+/// Holds messages to send, each with its address.
 pub type Outgoing = Vec<OutgoingMessage<Message, SocketAddr>>;
-/// The result of letting time pass.
+/// Holds the result of a call of `tick`.
 pub type TickResult = outgoing::TickResult<Message, SocketAddr>;
 
-/// That another balancer had the same overrides.
-struct Agreement {
-    /// The revision of the register here.
+/// Records that a peer had the same overrides.
+struct SyncRecord {
+    /// Holds the revision of the local register at that time.
     revision: u64,
     observed_at: Timestamp,
 }
 
-/// One balancer's part in spreading overrides.
+/// Spreads the overrides of one balancer.
 pub struct OverrideGossip {
     period: Ticks,
     rng: Pcg,
     next_sync_at: Timestamp,
-    in_sync: BTreeMap<SocketAddr, Agreement>,
-    /// The endpoint of the last entry that was sent of those that differ: the next one goes on from there.
+    in_sync: BTreeMap<SocketAddr, SyncRecord>,
+    /// Names the endpoint of the last entry that was sent because it differed; the next response continues
+    /// after it.
     cursor: String,
     pushed_revision: u64,
 }
 
 impl OverrideGossip {
-    /// A part that compares digests every `period`; `seed` is for its jitter and its choice of peers.
+    /// Creates a state machine that compares digests every `period`. The `seed` determines its jitter and its
+    /// choice of peers.
     pub fn new(now: Timestamp, seed: u64, period: Ticks) -> OverrideGossip {
         OverrideGossip {
             period,
@@ -89,8 +93,8 @@
         }
     }
 
-    /// Pushes new overrides and compares digests where that is due. `peers` gives the addresses of all other balancers, and is
-    /// called only where something is to be sent.
+    /// Pushes new overrides and compares digests if that is due. `peers` returns the addresses of all other
+    /// balancers, and is called only if there is something to send.
     pub fn tick(
         &mut self,
         now: Timestamp,
@@ -98,12 +102,12 @@
         peers: impl FnOnce() -> Vec<SocketAddr>,
     ) -> TickResult {
         let mut outgoing = Vec::new();
-        let has_news = register.revision() != self.pushed_revision;
-        if !has_news && now < self.next_sync_at {
+        let has_unpushed_changes = register.revision() != self.pushed_revision;
+        if !has_unpushed_changes && now < self.next_sync_at {
             return TickResult { outgoing, next_tick_at: self.next_sync_at };
         }
         let peers = peers();
-        if has_news {
+        if has_unpushed_changes {
             self.pushed_revision = register.revision();
             self.push_newest(register, &peers, &mut outgoing);
         }
@@ -142,24 +146,24 @@
     ) {
         let jitter = PERIOD_JITTER_MIN + PERIOD_JITTER_WIDTH * self.rng.next_f64();
         self.next_sync_at = now + self.period.mul_f64(jitter);
-        let oldest = now - self.agreement_window(peers.len());
-        self.in_sync.retain(|_, agreement| agreement.observed_at > oldest);
+        let oldest = now - self.in_sync_window(peers.len());
+        self.in_sync.retain(|_, record| record.observed_at > oldest);
         if let Some(to) = self.sample_peer(peers) {
             let message = Message::DigestRequest { digests: register.digests() };
             outgoing.push(OutgoingMessage { to, message });
         }
     }
 
-    /// One draw, also where there are no peers.
+    /// Draws a random peer. It advances the generator by one number even if there are no peers.
     fn sample_peer(&mut self, peers: &[SocketAddr]) -> Option<SocketAddr> {
         peers.get((self.rng.next_f64() * peers.len() as f64) as usize).copied()
     }
 
-    fn agreement_window(&self, peer_count: usize) -> Ticks {
-        self.period.mul_f64(AGREEMENT_PERIODS * peer_count.max(1) as f64)
+    fn in_sync_window(&self, peer_count: usize) -> Ticks {
+        self.period.mul_f64(IN_SYNC_PERIODS * peer_count.max(1) as f64)
     }
 
-    /// Handles a message, merges what is new into the register, and gives what to send.
+    /// Handles a message, merges new entries into the register, and returns the messages to send.
     pub fn on_message(
         &mut self,
         now: Timestamp,
@@ -188,7 +192,8 @@
         }
     }
 
-    /// The next entries of the buckets that differ from a peer's, of which it records whether it is in sync.
+    /// Returns the next entries of the buckets that differ from the peer's, and records whether the peer is
+    /// in sync.
     fn differing_entries(
         &mut self,
         now: Timestamp,
@@ -198,8 +203,8 @@
     ) -> Vec<OverrideEntry> {
         let buckets = differing_buckets(register, peer_digests);
         if buckets.is_empty() {
-            let agreement = Agreement { revision: register.revision(), observed_at: now };
-            self.in_sync.insert(peer, agreement);
+            let record = SyncRecord { revision: register.revision(), observed_at: now };
+            self.in_sync.insert(peer, record);
         } else {
             self.in_sync.remove(&peer);
         }
@@ -210,13 +215,13 @@
         entries
     }
 
-    /// How many of these balancers recently had the overrides that the register has now.
+    /// Returns how many of these balancers recently had the same overrides as the register has now.
     pub fn in_sync_count(&self, now: Timestamp, register: &OverrideRegister, peers: &[SocketAddr]) -> usize {
-        let oldest = now - self.agreement_window(peers.len());
+        let oldest = now - self.in_sync_window(peers.len());
         let is_in_sync = |peer: &&SocketAddr| {
-            self.in_sync.get(peer).is_some_and(|agreement| {
-                agreement.revision == register.revision() && agreement.observed_at > oldest
-            })
+            self.in_sync
+                .get(peer)
+                .is_some_and(|record| record.revision == register.revision() && record.observed_at > oldest)
         };
         peers.iter().filter(is_in_sync).count()
     }
--- a/crates/fleet-health/src/operator_overrides.rs
+++ b/crates/fleet-health/src/operator_overrides.rs
@@ -1,10 +1,11 @@
-//! Overrides by operators: an endpoint is ejected for the whole fleet, or restored.
+//! Overrides by operators, each of which ejects an endpoint for the whole fleet or restores it.
 //!
 //! # Safety argument
 //!
-//! A join-semilattice: the override of each endpoint is the maximum of all that were seen, by version, then ejected before
-//! restored, then author. So registers that have seen the same overrides are equal, in whatever order and however often these
-//! came; no clock is used. An ejection is never evicted.
+//! The register is a join-semilattice: the override of each endpoint is the maximum of all that were
+//! received, ordered by version, then ejected above restored, then by author. So registers that have received
+//! the same overrides are equal, regardless of order and repetition, and no clock is needed. An ejection is
+//! never evicted.
 
 mod codec;
 mod override_entry;
--- a/crates/fleet-health/src/operator_overrides/codec.rs
+++ b/crates/fleet-health/src/operator_overrides/codec.rs
@@ -1,6 +1,7 @@
-//! The text in which a register is stored: one line an override, each with a checksum.
+//! The text format in which a register is stored: one line per override, each with a checksum.
 //!
-//! Without the checksum, a line that was cut off would eject another endpoint, by the beginning of a name.
+//! The checksum prevents a truncated line from ejecting another endpoint, whose name is a prefix of the
+//! stored one.
 
 use doorproxy::ids::Timestamp;
 use doorproxy::rng::hash_text;
@@ -11,15 +12,15 @@
 
 const EJECTED_KEYWORD: &str = "out";
 const RESTORED_KEYWORD: &str = "back";
-/// Keyword, version, author, time and name.
+/// Counts the fields of a line: keyword, version, author, time and name.
 const FIELD_COUNT: usize = 5;
 
-/// What could be read of a stored register.
+/// Holds what could be read from a stored register.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DecodedRegister {
-    /// The overrides of all lines that could be read.
+    /// Holds the overrides of all readable lines.
     pub register: OverrideRegister,
-    /// How many lines could not.
+    /// Counts the lines that could not be read.
     pub unreadable_lines: usize,
 }
 
@@ -29,12 +30,12 @@
 }
 
 impl OverrideRegister {
-    /// The text of all overrides.
+    /// Returns the text of all overrides.
     pub fn encode(&self) -> String {
         self.iter().map(|(name, registered)| encode_line(name, registered)).collect()
     }
 
-    /// Reads the lines that can be read. A time of learning after `now` counts as `now`.
+    /// Reads all readable lines. A `learned_at` later than `now` is replaced by `now`.
     pub fn decode(now: Timestamp, text: &str) -> DecodedRegister {
         let mut register = OverrideRegister::default();
         let mut unreadable_lines = 0;
--- a/crates/fleet-health/src/operator_overrides/override_entry.rs
+++ b/crates/fleet-health/src/operator_overrides/override_entry.rs
@@ -1,41 +1,42 @@
-//! An override and the endpoint that it is for.
+//! An override and the endpoint to which it applies.
 
 use doorproxy_membership::message::NodeId;
 use serde::{Deserialize, Serialize};
 
-/// Longer names do not fit one datagram with others.
+/// Limits the length of an endpoint's name, so that its entry fits into a datagram with others.
 pub const MAX_NAME_BYTES: usize = 200;
-/// What an encoded entry takes beyond the endpoint's name, at the most.
+/// Bounds the encoded size of an entry without the endpoint's name.
 pub(crate) const ENTRY_OVERHEAD_BYTES: usize = 24;
 
-/// What an operator has decided on an endpoint. Of two overrides the larger one holds: the order of the fields is that order.
+/// Describes an operator's decision about an endpoint. Of two overrides the greater one holds. The order of
+/// the fields defines the comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Override {
-    /// Larger than that of every override of the endpoint that its author knew of.
+    /// Is greater than the version of every override of the endpoint that the author knew of.
     pub version: u64,
-    /// Whether the endpoint is ejected, else it is restored.
+    /// Tells whether the endpoint is ejected or restored.
     pub is_ejected: bool,
-    /// The balancer at which the operator decided.
+    /// Identifies the balancer at which the operator decided.
     pub author: NodeId,
 }
 
-/// An override with its endpoint, as it travels.
+/// Holds an override with its endpoint, as it is sent and stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OverrideEntry {
-    /// The endpoint's name.
+    /// Names the endpoint.
     pub endpoint: String,
-    /// The override.
+    /// Holds the override.
     pub value: Override,
 }
 
 impl OverrideEntry {
-    /// What it takes in a datagram, at the most.
+    /// Returns an upper bound of the entry's size in a datagram.
     pub fn max_encoded_bytes(&self) -> usize {
         self.endpoint.len() + ENTRY_OVERHEAD_BYTES
     }
 }
 
-/// Whether a name is not empty, fits a datagram and stands in one field of a line.
+/// Returns whether a name is not empty, fits into a datagram, and is a single field of a stored line.
 pub(super) fn is_valid_name(name: &str) -> bool {
     let is_separator = |c: char| c.is_whitespace() || c.is_control();
     !name.is_empty() && name.len() <= MAX_NAME_BYTES && !name.contains(is_separator)
--- a/crates/fleet-health/src/operator_overrides/register.rs
+++ b/crates/fleet-health/src/operator_overrides/register.rs
@@ -1,4 +1,4 @@
-//! The register of all overrides at one balancer.
+//! The register of all overrides that a balancer knows.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
@@ -8,38 +8,42 @@
 use doorproxy_membership::message::NodeId;
 use thiserror::Error;
 
-use super::override_entry::{Override, OverrideEntry, is_valid_name};
+use super::override_entry::{MAX_NAME_BYTES, Override, OverrideEntry, is_valid_name};
 use crate::byte_budget::ByteBudget;
 
-/// Bounds a register: above it no endpoint is ejected, and those restored longest ago are forgotten.
+/// Limits the entries of a register. With that many ejected endpoints, no further one can be ejected.
+/// Otherwise the entries of restored endpoints are evicted, those learned first before the others.
 pub const MAX_OVERRIDES: usize = 4096;
-/// Overrides are compared in this many buckets by name, so that after a partition only the buckets that differ are sent.
+/// Sets the number of buckets, by endpoint name, in which registers are compared. After a partition, only
+/// entries of buckets that differ are sent.
 pub const DIGEST_BUCKETS: usize = 16;
 
-/// A digest of each bucket, the same for the same overrides.
+/// Holds one digest per bucket. Registers with the same overrides have the same digests.
 pub type Digests = [u64; DIGEST_BUCKETS];
 
-/// Why an override can't be set.
+/// Says why an override can't be set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum OverrideError {
-    /// [`MAX_OVERRIDES`] endpoints are ejected already.
-    #[error("{MAX_OVERRIDES} endpoints are ejected already")]
+    /// The register holds [`MAX_OVERRIDES`] ejected endpoints already.
+    #[error("{MAX_OVERRIDES} endpoints are already ejected, which is the maximum")]
     Full,
-    /// The name is empty, is too long for a datagram, or contains white space.
-    #[error("the name of an endpoint is empty, too long, or contains white space")]
+    /// The name is empty, too long for a datagram, or contains white space or control characters.
+    #[error(
+        "endpoint name is empty, over {MAX_NAME_BYTES} bytes, or contains white space or control characters"
+    )]
     InvalidName,
 }
 
-/// An override and when this process learned of it.
+/// Holds an override and the time when this process learned of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RegisteredOverride {
-    /// The override.
+    /// Holds the override.
     pub value: Override,
-    /// When this process learned of it.
+    /// Holds the time when this process learned of the override.
     pub learned_at: Timestamp,
 }
 
-/// All overrides that a balancer knows of, by endpoint.
+/// Holds all overrides that a balancer knows, by endpoint.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OverrideRegister {
     entries: BTreeMap<String, RegisteredOverride>,
@@ -51,10 +55,12 @@
 }
 
 impl OverrideRegister {
-    /// Sets an override by an operator at the balancer `author`. One that holds already is left as it is.
+    /// Sets an override on behalf of an operator at the balancer `author`. An override that holds already is
+    /// not changed.
     ///
     /// # Errors
-    /// [`OverrideError::InvalidName`], or [`OverrideError::Full`] for an ejection above the limit.
+    /// Returns [`OverrideError::InvalidName`] for an invalid name, and [`OverrideError::Full`] for an
+    /// ejection above the limit.
     pub fn set(
         &mut self,
         now: Timestamp,
@@ -78,7 +84,8 @@
         Ok(value)
     }
 
-    /// Takes over an entry of another balancer where it is larger than the known one; true where it did.
+    /// Takes over an entry of another balancer if its override is greater than the known one. Returns whether
+    /// it did.
     pub fn merge(&mut self, now: Timestamp, entry: &OverrideEntry) -> bool {
         let OverrideEntry { endpoint, value } = entry;
         let known = self.get(endpoint);
@@ -113,27 +120,27 @@
         }
     }
 
-    /// A number that grows with every change.
+    /// Returns a number that grows with every change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// All overrides in the order of the endpoints' names.
+    /// Returns all overrides in the order of the endpoints' names.
     pub fn iter(&self) -> impl Iterator<Item = (&String, RegisteredOverride)> {
         self.entries.iter().map(|(name, registered)| (name, *registered))
     }
 
-    /// The names of the ejected endpoints.
+    /// Returns the names of the ejected endpoints.
     pub fn ejected(&self) -> impl Iterator<Item = &String> {
         self.entries.iter().filter(|(_, registered)| registered.value.is_ejected).map(|(name, _)| name)
     }
 
-    /// The override of an endpoint.
+    /// Returns the override of an endpoint.
     pub fn get(&self, name: &str) -> Option<Override> {
         self.entries.get(name).map(|registered| registered.value)
     }
 
-    /// The digests of all buckets.
+    /// Returns the digests of all buckets.
     pub fn digests(&self) -> Digests {
         let mut digests: Digests = [0; DIGEST_BUCKETS];
         for (name, RegisteredOverride { value, .. }) in &self.entries {
@@ -144,8 +151,8 @@
         digests
     }
 
-    /// The entries of these buckets from the first name after `after` on, round to `after` itself, as many as take no more than
-    /// `max_bytes`.
+    /// Returns entries of these buckets that together take at most `max_bytes`. The entries start at the
+    /// first name after `after`, continue from the smallest name after the largest, and end at `after`.
     pub fn entries_in_buckets(
         &self,
         buckets: &BTreeSet<usize>,
--- a/crates/model-checker/src/exploration.rs
+++ b/crates/model-checker/src/exploration.rs
@@ -2,25 +2,25 @@
 
 use std::fmt;
 
-/// What a search has visited and found. `Display` is a report of it.
+/// Holds what a search has visited and found. `Display` prints it as a report.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Exploration {
-    /// How many different states were seen.
+    /// Counts the distinct states that were visited.
     pub state_count: usize,
-    /// How many steps the last of them are away from the initial states.
+    /// Holds the distance of the last visited states from the initial states, in steps.
     pub depth: usize,
-    /// Whether states were left out, by the bound on depth or on the number of states.
+    /// Is true if the bound on the depth or on the number of states left out some states.
     pub is_truncated: bool,
-    /// The first violation, by its distance from the initial states.
+    /// Holds the first violation, by its distance from the initial states.
     pub violation: Option<Violation>,
 }
 
-/// A state in which the invariant does not hold.
+/// Describes a state in which the invariant does not hold.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// What does not hold.
+    /// Says what does not hold.
     pub reason: String,
-    /// A shortest sequence of steps from an initial state.
+    /// Holds a shortest sequence of steps from an initial state.
     pub trace: Vec<String>,
 }
 
--- a/crates/model-checker/src/explore.rs
+++ b/crates/model-checker/src/explore.rs
@@ -6,19 +6,19 @@
 use crate::exploration::{Exploration, Violation};
 use crate::model::Model;
 
-/// How a state was first reached.
+/// Records how a state was first reached.
 struct VisitedState<Step> {
-    /// The index of the state before it, and the step from there. `None` for an initial state.
+    /// Holds the index of the previous state and the step from there, or `None` for an initial state.
     predecessor: Option<(usize, Step)>,
 }
 
-/// A visited state whose successors are not visited yet.
+/// Holds a visited state whose successors are not visited yet.
 struct FrontierState<State> {
     index: usize,
     state: State,
 }
 
-/// The states of one distance from the initial states.
+/// Holds the states at one distance from the initial states.
 type Frontier<M> = Vec<FrontierState<<M as Model>::State>>;
 
 struct Search<'a, M: Model> {
@@ -29,8 +29,8 @@
     is_truncated: bool,
 }
 
-/// Visits the states up to `max_depth` steps away from the initial states, and no more than `max_states` beside these, up to
-/// the first violation.
+/// Visits the states up to `max_depth` steps away from the initial states, until the first violation. It
+/// visits all initial states, and further states only while fewer than `max_states` were visited.
 pub fn explore<M: Model>(model: &M, max_depth: usize, max_states: usize) -> Exploration {
     let mut search =
         Search { model, max_states, fingerprints: HashSet::new(), visited: Vec::new(), is_truncated: false };
@@ -78,7 +78,7 @@
         })
     }
 
-    /// The successors of the frontier that were not visited before.
+    /// Returns the successors of the frontier that were not visited before.
     fn expand(&mut self, frontier: Frontier<M>) -> Frontier<M> {
         let mut next = Vec::new();
         for FrontierState { index, state } in frontier {
--- a/crates/model-checker/src/lib.rs
+++ b/crates/model-checker/src/lib.rs
@@ -1,12 +1,13 @@
-//! A model checker for pure state machines: it visits every state that a small case can reach, in any order of its steps, and
-//! reports the first in which an invariant is violated. Beside it stands a runner of seeded simulations.
+//! A model checker for pure state machines: it visits every state that a small model can reach, in any order
+//! of steps, and reports the first state that violates an invariant. The crate also has a runner for seeded
+//! simulations.
 //!
 //! # Safety argument
 //!
-//! The search visits states in order of their distance from the initial states, so the first violation that it finds has a
-//! shortest trace. A search without violation is complete only where [`Exploration::is_truncated`] is false. Two states with
-//! the same 64-bit fingerprint are taken for one: among a million states, the probability that any two share a fingerprint is
-//! less than 1 in 30 million.
+//! The search visits states in order of their distance from the initial states, so the first violation that
+//! it finds has a shortest trace. A search without violation is complete only if
+//! [`Exploration::is_truncated`] is false. States with the same 64-bit fingerprint are treated as one: among
+//! a million states, the probability that any two share a fingerprint is less than 1 in 30 million.
 
 #![warn(missing_docs)]
 
--- a/crates/model-checker/src/seeds.rs
+++ b/crates/model-checker/src/seeds.rs
@@ -3,32 +3,32 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// How many simulations run at a time.
+/// Sets how many simulations run at a time.
 const THREAD_COUNT: usize = 8;
 
-/// A seed whose simulation has failed.
+/// Describes a seed whose simulation has failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FailedSeed {
-    /// The seed.
+    /// Holds the seed.
     pub seed: u64,
-    /// What went wrong.
+    /// Says what went wrong.
     pub reason: String,
 }
 
-/// What to do once a seed has failed.
+/// Says what to do after a seed has failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OnFailure {
-    /// Start no further seed: enough to show that a mutant is found.
+    /// Starts no further seed, which is enough to show that a mutant is found.
     Stop,
-    /// Run all seeds, so that the result does not depend on the threads' timing.
+    /// Runs all seeds, so that the result does not depend on the timing of threads.
     Continue,
 }
 
-/// Runs the seeds from 0 up to `seed_count`. `run` returns what went wrong. Returns the smallest seed that failed, among
-/// those that were run.
+/// Runs the seeds from 0 to `seed_count`, exclusive. `run` returns what went wrong, or `None`. Returns the
+/// smallest failing seed among those that were run.
 ///
 /// # Panics
-/// Where `run` panics.
+/// Panics if `run` panics.
 pub fn first_failing_seed(
     seed_count: u64,
     on_failure: OnFailure,
@@ -62,7 +62,7 @@
     }
 }
 
-/// No thread panics while it holds the lock, so a poisoned one is sound.
+/// Locks the mutex, ignoring poisoning: no thread panics while it holds the lock, so the value is intact.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/model-checker/tests/lost_update.rs
+++ b/crates/model-checker/tests/lost_update.rs
@@ -1,9 +1,9 @@
-//! Two processes that increment a number without a lock lose an update.
+//! Checks the search on a known bug: two processes that increment a number without a lock lose an update.
 
 use doorproxy_model_checker::{Model, Successors, explore};
 use expect_test::expect;
 
-/// Two adders that increment a number, each by reading it and then writing it.
+/// Models two adders that increment a number, each by reading it and then writing it.
 struct ConcurrentAdders {
     uses_lock: bool,
 }
@@ -45,17 +45,17 @@
 
     fn check_invariant(&self, state: &AdderState) -> Result<(), String> {
         if state.is_done == [true; 2] && state.total != 2 {
-            return Err(format!("both have added, and it is {}", state.total));
+            return Err(format!("both adders are done, but the total is {}", state.total));
         }
         Ok(())
     }
 }
 
-/// The search must neither miss an order of steps nor call a truncated search complete.
+/// The search must neither miss an order of steps nor report a truncated search as complete.
 #[test]
 fn a_lost_update_is_found_by_a_shortest_trace() {
     let found = explore(&ConcurrentAdders { uses_lock: false }, 10, 1000);
-    expect![[r#"Exploration { state_count: 13, depth: 4, is_truncated: false, violation: Some(Violation { reason: "both have added, and it is 1", trace: ["(\"reads\", 0)", "(\"reads\", 1)", "(\"writes\", 0)", "(\"writes\", 1)"] }) }"#]]
+    expect![[r#"Exploration { state_count: 13, depth: 4, is_truncated: false, violation: Some(Violation { reason: "both adders are done, but the total is 1", trace: ["(\"reads\", 0)", "(\"reads\", 1)", "(\"writes\", 0)", "(\"writes\", 1)"] }) }"#]]
     .assert_eq(&format!("{found:?}"));
     let with_lock = explore(&ConcurrentAdders { uses_lock: true }, 10, 1000);
     assert_eq!((with_lock.violation, with_lock.is_truncated), (None, false));
--- a/crates/model-checker/tests/seeds.rs
+++ b/crates/model-checker/tests/seeds.rs
@@ -1,4 +1,4 @@
-//! The runner of seeds finds the smallest seed that fails.
+//! Checks that the runner of seeds returns the smallest failing seed.
 
 use doorproxy_model_checker::{FailedSeed, OnFailure, first_failing_seed};
 
--- a/crates/peer-transport/src/channel.rs
+++ b/crates/peer-transport/src/channel.rs
@@ -1,17 +1,17 @@
-//! The protocols that share the transport.
+//! Channels, which identify the protocols that share the transport.
 
-/// The protocol that a datagram belongs to. Each has a handler of its own.
+/// Identifies the protocol of a datagram. Each protocol has its own handler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Channel {
-    /// Failure detection and the membership registry.
+    /// Carries failure detection and the membership registry.
     Membership,
-    /// Leases of quota shards.
+    /// Carries leases of quota shards.
     Leases,
-    /// Tenant quotas.
+    /// Carries tenant quotas.
     Quotas,
-    /// Overrides set by operators.
+    /// Carries overrides set by operators.
     Overrides,
-    /// Fault reports on endpoints.
+    /// Carries fault reports on endpoints.
     FaultReports,
 }
 
@@ -19,7 +19,7 @@
     const ALL: [Channel; 5] =
         [Channel::Membership, Channel::Leases, Channel::Quotas, Channel::Overrides, Channel::FaultReports];
 
-    /// The channel's number in a datagram's header.
+    /// Returns the channel's number in a datagram's header.
     pub(crate) fn to_byte(self) -> u8 {
         match self {
             Channel::Membership => 1,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// `None` for a number that this version does not know.
+    /// Returns the channel with this number, or `None` if this version does not know it.
     pub(crate) fn from_byte(byte: u8) -> Option<Channel> {
         Channel::ALL.into_iter().find(|channel| channel.to_byte() == byte)
     }
--- a/crates/peer-transport/src/cluster_keys.rs
+++ b/crates/peer-transport/src/cluster_keys.rs
@@ -1,8 +1,9 @@
-//! The secret keys of a cluster, as read from a key file: one or two lines of 64 hexadecimal digits. Blank lines and lines
-//! that begin with `#` are ignored.
+//! The secret keys of a cluster, as read from a key file, which has one or two lines of 64 hexadecimal
+//! digits. Blank lines and lines that begin with `#` are ignored.
 //!
-//! The first key seals datagrams; either key opens them. To rotate a key without rejected datagrams: add the new key as the
-//! second line on every balancer, then make it the first line everywhere, then remove the old one.
+//! The first key seals datagrams; either key opens them. To rotate a key without rejected datagrams, add the
+//! new key as the second line on every balancer, then make it the first line everywhere, then remove the old
+//! one.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,34 +11,35 @@
 const KEY_BYTES: usize = 32;
 const KEY_HEX_DIGITS: usize = 2 * KEY_BYTES;
 
-/// One secret key.
+/// Holds one secret key.
 pub(crate) type Key = [u8; KEY_BYTES];
 
-/// The keys that seal and open a cluster's datagrams. `Debug` prints their number, never a key.
+/// Holds the keys that seal and open a cluster's datagrams. `Debug` prints the number of keys, never a key.
 #[derive(Clone)]
 pub struct ClusterKeys {
     primary: Key,
     secondary: Option<Key>,
 }
 
-/// Why a text is not a key file. No variant holds any of the text, since it may be a key with a digit too few.
+/// Says why a text is not a valid key file. No variant contains any of the text, because a line with a
+/// missing digit may be most of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyFileError {
     /// A line is neither a key nor a comment.
     #[error(
-        "line {line}: {KEY_HEX_DIGITS} hexadecimal digits expected, and nothing else, not {length} characters"
+        "line {line}: not a key ({length} characters), exactly {KEY_HEX_DIGITS} hexadecimal digits expected"
     )]
     InvalidLine {
-        /// The line's number, from 1.
+        /// Holds the line's number, counted from 1.
         line: usize,
-        /// The line's length in characters, without surrounding white space.
+        /// Holds the line's length in characters, without surrounding white space.
         length: usize,
     },
-    /// There is no key.
-    #[error("a line of {KEY_HEX_DIGITS} hexadecimal digits expected")]
+    /// The file has no key.
+    #[error("no key, one or two lines of {KEY_HEX_DIGITS} hexadecimal digits expected")]
     NoKey,
-    /// There are more than two keys.
-    #[error("one or two keys expected, not {0}")]
+    /// The file has more than two keys.
+    #[error("{0} keys, one or two expected")]
     TooManyKeys(usize),
 }
 
@@ -49,10 +51,11 @@
 }
 
 impl ClusterKeys {
-    /// Reads the text of a key file.
+    /// Parses the text of a key file.
     ///
     /// # Errors
-    /// Where a line is not a key, or there are not one or two keys. The first invalid line is reported.
+    /// Returns the first line that is not a key as an error, and otherwise an error if there are not one or
+    /// two keys.
     pub fn parse(text: &str) -> Result<ClusterKeys, KeyFileError> {
         let mut keys = Vec::new();
         for (index, line) in text.lines().map(str::trim).enumerate() {
@@ -70,12 +73,12 @@
         }
     }
 
-    /// The key that seals.
+    /// Returns the key that seals.
     pub(crate) fn primary(&self) -> &Key {
         &self.primary
     }
 
-    /// The keys that open, the primary one first.
+    /// Returns the keys that open, the primary one first.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Key> {
         std::iter::once(&self.primary).chain(&self.secondary)
     }
--- a/crates/peer-transport/src/cluster_keys/tests.rs
+++ b/crates/peer-transport/src/cluster_keys/tests.rs
@@ -10,13 +10,10 @@
     };
     assert_eq!(outcome(&format!("# of May\n{a}\n")), "1 keys");
     assert_eq!(outcome(&format!("{a}\n\n{b}\n")), "2 keys");
-    assert_eq!(outcome(""), "a line of 64 hexadecimal digits expected");
-    assert_eq!(outcome(&format!("{a}\n{b}\n{a}\n")), "one or two keys expected, not 3");
+    assert_eq!(outcome(""), "no key, one or two lines of 64 hexadecimal digits expected");
+    assert_eq!(outcome(&format!("{a}\n{b}\n{a}\n")), "3 keys, one or two expected");
     let short = format!("{a}\n{}", &b[1..]);
-    assert_eq!(
-        outcome(&short),
-        "line 2: 64 hexadecimal digits expected, and nothing else, not 63 characters"
-    );
-    assert!(!outcome(&short).contains(&b[1..]), "a key in an error");
+    assert_eq!(outcome(&short), "line 2: not a key (63 characters), exactly 64 hexadecimal digits expected");
+    assert!(!outcome(&short).contains(&b[1..]), "the error contains a key");
     assert!(ClusterKeys::parse(&"é".repeat(32)).is_err());
 }
--- a/crates/peer-transport/src/datagram.rs
+++ b/crates/peer-transport/src/datagram.rs
@@ -1,8 +1,8 @@
-//! The format of one datagram: two magic bytes, the format version, the channel, the message in postcard encoding, and 16
-//! bytes of a keyed hash over all of that and the cluster's name.
+//! The format of a datagram: two magic bytes, the format version, the channel, the message in postcard
+//! encoding, and 16 bytes of a keyed hash over all of these and the cluster's name.
 //!
-//! The hash authenticates and hides nothing. A datagram that was sealed once opens for as long as its key is in use: whether
-//! a message is out of date is for its protocol to tell.
+//! The hash authenticates a datagram but does not encrypt it. A sealed datagram can be opened for as long as
+//! its key is in use, so each protocol must detect outdated messages itself.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -10,39 +10,40 @@
 pub use crate::channel::Channel;
 use crate::cluster_keys::{ClusterKeys, Key};
 
-/// The longest datagram in bytes: small enough that no common network path fragments it.
+/// Limits the bytes of a datagram, so that common network paths do not fragment it.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
 
 const MAGIC: [u8; 2] = *b"dp";
-/// Raised with each incompatible change of a message. A version then also has to read the one before it.
+/// Identifies the format. It is raised with each incompatible change of a message, and a program with a new
+/// version must also read the version before it.
 const FORMAT_VERSION: u8 = 1;
 const VERSION_OFFSET: usize = 2;
 const CHANNEL_OFFSET: usize = 3;
 const HEADER_BYTES: usize = 4;
 const MAC_BYTES: usize = 16;
 
-/// Keyed hash of a datagram.
+/// Holds the keyed hash of a datagram.
 type Mac = [u8; MAC_BYTES];
 
-/// Why a datagram is rejected.
+/// Says why a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum DatagramError {
-    /// It lacks the magic bytes, or its length is out of bounds.
+    /// The datagram lacks the magic bytes, or its length is out of bounds.
     #[error("not a datagram of this protocol")]
     Malformed,
-    /// No key of this cluster sealed it, or it was changed on the way.
+    /// The datagram was not sealed by a key of this cluster, or was changed in transit.
     #[error("not sealed by a key of this cluster")]
     Unauthenticated,
-    /// It is authentic, and its version or channel is unknown: a newer program sent it.
+    /// The datagram is authentic, but its version or channel is unknown because a newer program sent it.
     #[error("unknown format version or channel")]
     UnknownVersion,
-    /// It is authentic, and its content is no message of its channel.
+    /// The datagram is authentic, but its content is not a message of its channel.
     #[error("not a message of its channel")]
     Undecodable,
 }
 
-/// The channel of an authentic datagram, and the bytes of its message.
-pub type Opened<'a> = (Channel, &'a [u8]);
+/// Holds the channel of an authentic datagram and the bytes of its message.
+pub type OpenedDatagram<'a> = (Channel, &'a [u8]);
 
 /// Seals and opens the datagrams of one cluster.
 #[derive(Clone, Debug)]
@@ -52,14 +53,14 @@
 }
 
 impl DatagramCodec {
-    /// A codec for the cluster of this name, with its keys.
+    /// Creates a codec for the cluster with this name and its keys.
     pub fn new(cluster: &str, keys: ClusterKeys) -> DatagramCodec {
         DatagramCodec { cluster: cluster.to_string(), keys }
     }
 
     fn mac(&self, key: &Key, bytes: &[u8]) -> Mac {
         let mut hasher = blake3::Hasher::new_keyed(key);
-        // The length keeps one pair of name and bytes from being taken for another with the same concatenation.
+        // The length distinguishes pairs of name and bytes whose concatenations are equal.
         hasher.update(&(self.cluster.len() as u64).to_le_bytes());
         hasher.update(self.cluster.as_bytes());
         hasher.update(bytes);
@@ -68,8 +69,8 @@
         mac
     }
 
-    /// The datagram for a message, sealed by the primary key. `None` where it would be longer than
-    /// [`MAX_DATAGRAM_BYTES`], or the message can't be encoded.
+    /// Returns the datagram for a message, sealed with the primary key. Returns `None` if it would be longer
+    /// than [`MAX_DATAGRAM_BYTES`], or if the message can't be encoded.
     pub fn seal(&self, channel: Channel, message: &impl Serialize) -> Option<Vec<u8>> {
         let mut datagram = MAGIC.to_vec();
         datagram.push(FORMAT_VERSION);
@@ -80,11 +81,13 @@
         (datagram.len() <= MAX_DATAGRAM_BYTES).then_some(datagram)
     }
 
-    /// Authenticates a datagram. Returns its channel and the bytes of its message, for [`DatagramCodec::decode`].
+    /// Authenticates a datagram. Returns its channel and the bytes of its message, which are input for
+    /// [`DatagramCodec::decode`].
     ///
     /// # Errors
-    /// Where it is malformed, not authentic, or of an unknown version or channel, in this order.
-    pub fn open<'a>(&self, datagram: &'a [u8]) -> Result<Opened<'a>, DatagramError> {
+    /// Returns an error if the datagram is malformed, is not authentic, or has an unknown version or channel,
+    /// checked in this order.
+    pub fn open<'a>(&self, datagram: &'a [u8]) -> Result<OpenedDatagram<'a>, DatagramError> {
         let is_valid_length = (HEADER_BYTES + MAC_BYTES..=MAX_DATAGRAM_BYTES).contains(&datagram.len());
         if !is_valid_length || !datagram.starts_with(&MAGIC) {
             return Err(DatagramError::Malformed);
@@ -107,7 +110,7 @@
     /// Decodes a message that [`DatagramCodec::open`] returned.
     ///
     /// # Errors
-    /// [`DatagramError::Undecodable`] where the bytes are not exactly one message of this type.
+    /// Returns [`DatagramError::Undecodable`] if the bytes are not exactly one message of this type.
     pub fn decode<M: DeserializeOwned>(bytes: &[u8]) -> Result<M, DatagramError> {
         match postcard::take_from_bytes(bytes) {
             Ok((message, [])) => Ok(message),
@@ -116,7 +119,7 @@
     }
 }
 
-/// Takes the same time wherever the two differ, so that timing reveals nothing of the expected hash.
+/// Compares two hashes in constant time, so that timing reveals nothing about the expected hash.
 fn equals_in_constant_time(expected: &Mac, actual: &Mac) -> bool {
     let pairs = expected.iter().zip(actual);
     pairs.fold(0, |difference, (a, b)| difference | (a ^ b)) == 0
--- a/crates/peer-transport/src/rate_limiter.rs
+++ b/crates/peer-transport/src/rate_limiter.rs
@@ -1,9 +1,10 @@
-//! A token bucket that bounds how many datagrams of a peer are processed, so that a flood of them (of join requests, say)
-//! can't keep a balancer from its other work. Datagrams over the limit are to be dropped unread.
+//! A token bucket that limits how many datagrams are processed, so that a flood of them (of join requests,
+//! for example) can't starve a balancer's other work. The caller drops datagrams over the limit without
+//! reading them.
 
 use doorproxy::ids::{Ticks, Timestamp};
 
-/// A token bucket over a clock that the caller reads.
+/// Limits events with a token bucket whose caller reads the clock.
 #[derive(Clone, Copy, Debug)]
 pub struct RateLimiter {
     burst: f64,
@@ -13,12 +14,12 @@
 }
 
 impl RateLimiter {
-    /// A full bucket of `burst` tokens that gains `rate_per_second`.
+    /// Creates a full bucket of `burst` tokens that gains `rate_per_second` tokens per second.
     pub fn new(now: Timestamp, burst: f64, rate_per_second: f64) -> RateLimiter {
         RateLimiter { burst, rate_per_second, tokens: burst, refilled_at: now }
     }
 
-    /// Takes a token if there is one. A clock that runs back adds none.
+    /// Takes a token if there is one, and returns whether it did. A clock that runs backwards adds no tokens.
     pub fn try_acquire(&mut self, now: Timestamp) -> bool {
         self.refill(now);
         let is_acquired = self.tokens >= 1.0;
--- a/crates/peer-transport/tests/wire_format.rs
+++ b/crates/peer-transport/tests/wire_format.rs
@@ -1,4 +1,4 @@
-//! The bytes of sealed datagrams: magic, format version, channel, message and keyed hash.
+//! Pins the bytes of sealed datagrams: magic, format version, channel, message and keyed hash.
 
 use doorproxy_peer_transport::cluster_keys::ClusterKeys;
 use doorproxy_peer_transport::datagram::{Channel, DatagramCodec};
@@ -10,14 +10,14 @@
 const ALL: [Channel; 5] =
     [Channel::Membership, Channel::Leases, Channel::Quotas, Channel::Overrides, Channel::FaultReports];
 
-/// The channel's number on the wire, and its name.
+/// Returns the channel's number on the wire and its name.
 fn label(channel: Channel) -> &'static str {
     match channel {
         Channel::Membership => "1 membership",
-        Channel::Leases => "2 lease",
-        Channel::Quotas => "3 limit",
-        Channel::Overrides => "4 override",
-        Channel::FaultReports => "5 fault report",
+        Channel::Leases => "2 leases",
+        Channel::Quotas => "3 quotas",
+        Channel::Overrides => "4 overrides",
+        Channel::FaultReports => "5 fault reports",
     }
 }
 
@@ -27,7 +27,7 @@
     (0x11, "n1".to_string(), vec![0x12, 0x13, u64::MAX])
 }
 
-/// The codec of a cluster whose keys are one byte each, repeated.
+/// Creates a codec with keys that each consist of one repeated byte.
 fn codec(cluster: &str, key_bytes: &[&str]) -> DatagramCodec {
     let lines: Vec<String> = key_bytes.iter().map(|byte| byte.repeat(32)).collect();
     DatagramCodec::new(cluster, ClusterKeys::parse(&lines.join("\n")).expect("a key file"))
@@ -36,13 +36,13 @@
 fn lines(codec: &DatagramCodec) -> String {
     let mut lines = String::new();
     for channel in ALL {
-        let datagram = codec.seal(channel, &payload()).expect("it fits into a datagram");
+        let datagram = codec.seal(channel, &payload()).expect("the payload fits into a datagram");
         lines += &format!("{}: {}\n", label(channel), hex::encode(&datagram));
     }
     lines
 }
 
-/// Opens the datagrams of `lines`.
+/// Checks that the codec opens the datagrams of `lines`.
 fn assert_opened(codec: &DatagramCodec, lines: &str) {
     assert_eq!(lines.lines().count(), ALL.len());
     for (channel, line) in ALL.into_iter().zip(lines.lines()) {
@@ -60,10 +60,10 @@
     let datagrams = lines(&sealing);
     expect![[r#"
         1 membership: 6470010111026e31031213ffffffffffffffffff01ca6c0db191b0f24c167446d4c54391b0
-        2 lease: 6470010211026e31031213ffffffffffffffffff01d80c71fc3f58c12cc4c3538fedd2dae5
-        3 limit: 6470010311026e31031213ffffffffffffffffff01a13eb05ade5cdd148c16174e5f778578
-        4 override: 6470010411026e31031213ffffffffffffffffff01f8a1689982c597a16c6b7af043ee7eb1
-        5 fault report: 6470010511026e31031213ffffffffffffffffff0102539a505c8322068f48fdc5430f0ba2
+        2 leases: 6470010211026e31031213ffffffffffffffffff01d80c71fc3f58c12cc4c3538fedd2dae5
+        3 quotas: 6470010311026e31031213ffffffffffffffffff01a13eb05ade5cdd148c16174e5f778578
+        4 overrides: 6470010411026e31031213ffffffffffffffffff01f8a1689982c597a16c6b7af043ee7eb1
+        5 fault reports: 6470010511026e31031213ffffffffffffffffff0102539a505c8322068f48fdc5430f0ba2
     "#]]
     .assert_eq(&datagrams);
     assert_opened(&sealing, &datagrams);
@@ -73,14 +73,14 @@
 }
 
 #[test]
-fn another_cluster_or_key_gives_another_hash_alone() {
+fn another_cluster_or_key_changes_only_the_hash() {
     let mut lines = String::new();
     for (label, codec) in [
         ("another cluster", codec("reports", &["0a"])),
         ("no cluster name", codec("", &["0a"])),
         ("another key", codec("quotes", &["f0"])),
     ] {
-        let datagram = codec.seal(Channel::Membership, &payload()).expect("it fits into a datagram");
+        let datagram = codec.seal(Channel::Membership, &payload()).expect("the payload fits into a datagram");
         lines += &format!("{label}: {}\n", hex::encode(&datagram));
     }
     expect![[r#"
