--- a/crates/fleet-health/src/gossip.rs
+++ b/crates/fleet-health/src/gossip.rs
@@ -32,8 +32,8 @@
 /// Sets the width of the range of that factor.
 const PERIOD_JITTER_WIDTH: f64 = 0.4;
 
-/// Represents a message between two balancers. It is encoded with postcard, so the order of fields and variants is
-/// the wire format.
+/// Represents a message between two balancers. It is encoded with postcard, so the order of fields and
+/// variants is the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// Asks for the entries that differ.
--- a/crates/fleet-health/tests/fault_reports.rs
+++ b/crates/fleet-health/tests/fault_reports.rs
@@ -1,5 +1,5 @@
-//! Fault reports over links that delay, duplicate and lose messages, and reporters that are wrong, that report all endpoints,
-//! or that repeat each other.
+//! Checks fault reports over links that delay, duplicate and lose messages, and reporters that are wrong,
+//! that report all endpoints, or that repeat each other.
 
 use doorproxy::ids::{Ticks, Timestamp};
 use doorproxy::rng::Pcg;
@@ -19,7 +19,7 @@
     ReportClient::new(Timestamp(0), 1, REPORT_LIFETIME, NodeId(zone), vec![COLLECTOR])
 }
 
-/// One balancer sends its request, and the response arrives at once.
+/// Sends one balancer's request to the collector; the response arrives at once.
 fn exchange(now: Timestamp, node: u64, client: &mut ReportClient, collector: &mut ReportCollector) {
     for request in client.tick(now).outgoing {
         if let Some(response) = collector.respond(now, REPORT_LIFETIME, NodeId(node), &request.message) {
@@ -32,7 +32,7 @@
     client.suspected_endpoints(now, endpoint_count).into_iter().map(|suspect| suspect.endpoint.name).collect()
 }
 
-/// A reporter in a zone, and the endpoints that it reports.
+/// Describes a reporter in a zone and the endpoints that it reports.
 struct Reporter<'a> {
     zone: u64,
     endpoints: &'a [&'a str],
@@ -42,7 +42,8 @@
     Reporter { zone, endpoints }
 }
 
-/// The endpoints that another balancer suspects after these reporters have reported, one after the other.
+/// Returns the endpoints that another balancer suspects after these reporters have reported, one after the
+/// other.
 fn suspected_by_reporters(reporters: &[Reporter], endpoint_count: usize) -> Vec<String> {
     let mut collector = ReportCollector::default();
     for round in 1..4 {
@@ -50,7 +51,7 @@
             let zone = NodeId(*zone);
             let mut client = ReportClient::new(Timestamp(0), round, REPORT_LIFETIME, zone, vec![COLLECTOR]);
             let now = Timestamp(round as i64 * 10_000);
-            // The first response has the number that dates the second request.
+            // The first response carries the number that dates the second request.
             exchange(now, index as u64, &mut client, &mut collector);
             client.set_own_evidence(endpoints.iter().map(|name| (incarnation(name), now)));
             exchange(now + Ticks(6_000), index as u64, &mut client, &mut collector);
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn reports_weigh_by_independent_reporters() {
+fn an_endpoint_is_suspected_by_two_credible_reporters() {
     let one = || reporter(0, &["u1"]);
     assert_eq!(suspected_by_reporters(&[one()], 10), [""; 0]);
     assert_eq!(suspected_by_reporters(&[one(), one()], 10), ["u1"]);
@@ -70,7 +71,7 @@
     let all = |zone| reporter(zone, &["u0", "u1", "u2", "u3", "u4"]);
     assert_eq!(suspected_by_reporters(&[all(0), one()], 10), [""; 0]);
     assert_eq!(suspected_by_reporters(&[all(0), all(1), all(0)], 10), [""; 0]);
-    // No more than a quarter of the endpoints are suspected.
+    // At most a quarter of the endpoints are suspected.
     let three = |zone| reporter(zone, &["u1", "u2", "u3"]);
     assert_eq!(suspected_by_reporters(&[three(0), three(0), three(1)], 10).len(), 2);
 }
@@ -90,10 +91,10 @@
         let now = now + Ticks(7_000);
         exchange(now, 50, &mut observer, &mut collector);
         suspected_counts.push(suspected_names(&mut observer, now, 10).len());
-        // It is right three times, and then wrong.
+        // The reporter is right three times, and then wrong.
         observer.record_outcome(&incarnation("u1"), round <= 3);
     }
-    // Its report alone is enough once it was right often, and no more after it was wrong.
+    // Its report alone is enough after it was right several times, and no longer after it was wrong.
     assert_eq!(suspected_counts, [0, 0, 0, 1, 0, 0]);
     assert!(observer.trust_in(NodeId(1)) < 0.2);
 }
@@ -103,12 +104,13 @@
 
 struct InFlight {
     arrives_at: i64,
-    /// The balancer that it is from or for; the other side is the collector.
+    /// Holds the index of the sending or receiving balancer; the other side is the collector.
     balancer: usize,
     message: Message,
 }
 
-/// A reporter that finds evidence now and then, and an observer, over links that delay and duplicate messages.
+/// Simulates a reporter that finds evidence now and then, and an observer, over links that delay and
+/// duplicate messages.
 struct DelayedExchange {
     seed: u64,
     rng: Pcg,
@@ -174,23 +176,33 @@
         }
     }
 
-    /// Checks all reports at the observer, and gives the age of the oldest evidence that is used.
+    /// Checks all reports at the observer, and returns the age of the oldest evidence that is used.
     fn check(&self, now: Timestamp) -> Ticks {
         let mut oldest = Ticks::ZERO;
         for report in self.clients[OBSERVER].received_reports(now) {
             let (seed, age) = (self.seed, report.age);
-            let evidence_age = now - self.evidence_at.expect("a report has evidence");
-            assert!(age <= REPORT_LIFETIME, "seed {seed}: a report {} old is held", age.0);
-            assert!(age >= evidence_age, "seed {seed}: {} old, and its evidence {}", age.0, evidence_age.0);
+            let evidence_age = now - self.evidence_at.expect("a report exists only after evidence was found");
+            assert!(
+                age <= REPORT_LIFETIME,
+                "seed {seed}: an expired report is used, its age is {} ticks",
+                age.0
+            );
+            assert!(
+                age >= evidence_age,
+                "seed {seed}: the report is {} ticks old, but its evidence is {}",
+                age.0,
+                evidence_age.0
+            );
             oldest = oldest.max(evidence_age);
         }
         oldest
     }
 }
 
-/// Whatever is delayed, duplicated or reordered on its way.
+/// Guards against delayed, duplicated or reordered messages that make evidence appear younger than it is, or
+/// that keep a report in use after its lifetime.
 #[test]
-fn no_report_seems_younger_than_its_evidence_or_outlives_its_lifetime() {
+fn reports_never_appear_younger_than_their_evidence() {
     let mut oldest = Ticks::ZERO;
     for seed in 0..300 {
         let mut exchange = DelayedExchange::new(seed);
@@ -200,13 +212,13 @@
         }
     }
     println!("the oldest evidence that was used was {} ticks old", oldest.0);
-    // A bound that is never approached says nothing.
-    assert!(oldest.0 > REPORT_LIFETIME.0 / 2, "the oldest evidence that was used was {} old", oldest.0);
+    // The check is meaningful only if the age of some evidence comes close to the lifetime.
+    assert!(oldest.0 > REPORT_LIFETIME.0 / 2, "the oldest evidence that was used was {} ticks old", oldest.0);
 }
 
-/// Where hundreds report the same, the responses have to fit datagrams.
+/// The responses must fit into datagrams even if hundreds of balancers report the same endpoints.
 #[test]
-fn hundreds_of_reporters_are_represented_by_a_few() {
+fn responses_name_a_few_reporters_per_endpoint() {
     let mut collector = ReportCollector::default();
     for reporter in 0..300 {
         let mut client = report_client(reporter % 3);
@@ -217,7 +229,7 @@
     let requests = report_client(0).tick(Timestamp(8_000)).outgoing;
     let response = collector.respond(Timestamp(8_000), REPORT_LIFETIME, NodeId(900), &requests[0].message);
     let Some(Message::Response { reports, .. }) = response else {
-        panic!("no response");
+        panic!("the collector did not respond");
     };
     assert!((12..40).contains(&reports.len()), "{} reports", reports.len());
     let is_of_first =
--- a/crates/fleet-health/tests/overrides.rs
+++ b/crates/fleet-health/tests/overrides.rs
@@ -1,5 +1,5 @@
-//! Overrides that arrive in any order, repeatedly and late, across partitions of whole fleets, and in damaged files: all registers
-//! converge, and a damaged file never yields another override.
+//! Checks overrides that arrive in any order, repeatedly and late, across partitions of whole fleets, and in
+//! damaged files. All registers must converge, and a damaged file must never yield another override.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
 }
 
 proptest! {
-    /// Otherwise balancers would differ for good after overrides reached them in different orders.
+    /// Guards against balancers that differ permanently after overrides reached them in different orders.
     #[test]
     fn the_same_overrides_in_any_order_converge(entries in prop::collection::vec(entry(), 0..40), seed: u64) {
         let mut register = OverrideRegister::default();
@@ -42,10 +42,13 @@
         prop_assert_eq!(register.digests(), other.digests());
     }
 
-    /// A line that was cut off or changed must not eject another endpoint.
+    /// A truncated or changed line must not eject another endpoint.
     #[test]
     fn a_damaged_file_yields_no_other_override(
-        entries in prop::collection::vec(entry(), 1..20), cut in 0..400usize, place in 0..400usize, bit in 0..8u8,
+        entries in prop::collection::vec(entry(), 1..20),
+        cut in 0..400usize,
+        place in 0..400usize,
+        bit in 0..8u8,
     ) {
         let mut register = OverrideRegister::default();
         register.merge_all(Timestamp(7), &entries);
@@ -99,7 +102,7 @@
 }
 
 const PERIOD: Ticks = Ticks(10_000);
-/// The simulated time between two steps, and how long a datagram takes.
+/// Sets the simulated time between two steps, which is also the delay of a datagram.
 const STEP: Ticks = Ticks(500);
 const PARTITION_END: i64 = 20 * PERIOD.0;
 const RUN_END: i64 = 40 * PERIOD.0;
@@ -111,7 +114,8 @@
     message: Message,
 }
 
-/// Balancers of which a third can't reach the others until [`PARTITION_END`], while overrides are set on both sides.
+/// Simulates balancers of which a third can't reach the others until [`PARTITION_END`], while overrides are
+/// set on both sides.
 struct PartitionedFleet {
     rng: Pcg,
     loss_ratio: f64,
@@ -124,9 +128,9 @@
 }
 
 struct ConvergenceReport {
-    /// From the end of the partition until all registers were the same.
+    /// Counts the periods from the end of the partition until all registers were equal.
     periods: f64,
-    /// What each balancer sent a period after that.
+    /// Holds the number of datagrams that each balancer sent per period after that.
     datagrams_per_period: f64,
 }
 
@@ -161,8 +165,9 @@
             }
             self.tick_all();
             self.deliver_due();
-            let is_same = self.registers.iter().all(|of| of.digests() == self.registers[0].digests());
-            if now >= PARTITION_END && self.converged_at.is_none() && is_same {
+            let is_equal =
+                self.registers.iter().all(|register| register.digests() == self.registers[0].digests());
+            if now >= PARTITION_END && self.converged_at.is_none() && is_equal {
                 self.converged_at = Some(now);
             }
         }
@@ -172,7 +177,7 @@
     fn report(&self, seed: u64) -> ConvergenceReport {
         let count = self.registers.len();
         let Some(converged_at) = self.converged_at else {
-            panic!("seed {seed}: {count} balancers never had the same overrides");
+            panic!("seed {seed}: the registers of {count} balancers did not converge");
         };
         let periods_left = (RUN_END - converged_at) as f64 / PERIOD.0 as f64;
         ConvergenceReport {
@@ -207,7 +212,7 @@
             let register = &mut self.registers[to];
             let now = Timestamp(self.now);
             let responses = self.gossips[to].on_message(now, address(from), &message, register);
-            // A response goes where a request came from just now.
+            // The link of a response is open, since a request has just arrived over it.
             self.send(to, responses, |_, _| false);
         }
     }
@@ -223,9 +228,10 @@
     }
 }
 
-/// An override must not stay on its side of a partition, nor cost datagrams once all have it.
+/// Guards against overrides that stay on their side of a partition, and against datagrams that are sent
+/// although all balancers have the same overrides.
 #[test]
-fn all_registers_converge_within_a_few_periods_after_a_partition() {
+fn registers_converge_soon_after_a_partition() {
     for (count, loss_ratio, max_periods) in [(3, 0.0, 4.0), (12, 0.0, 6.0), (12, 0.3, 10.0), (100, 0.1, 8.0)]
     {
         let run = |seed| PartitionedFleet::new(seed, count, loss_ratio).run(seed);
@@ -233,9 +239,9 @@
         let longest = reports.iter().map(|report| report.periods).fold(0.0, f64::max);
         let cost = reports.iter().map(|report| report.datagrams_per_period).fold(0.0, f64::max);
         println!(
-            "{count} balancers, {loss_ratio} lost: up to {longest:.1} periods, {cost:.2} datagrams a period"
+            "{count} balancers, loss {loss_ratio}: up to {longest:.1} periods, {cost:.2} datagrams per period"
         );
-        assert!(longest <= max_periods, "{count} balancers, {loss_ratio} lost: {longest} periods");
-        assert!(cost < 2.2, "{cost} datagrams a period and balancer");
+        assert!(longest <= max_periods, "{count} balancers, loss {loss_ratio}: {longest} periods");
+        assert!(cost < 2.2, "{cost} datagrams per period and balancer");
     }
 }
--- a/crates/fleet-health/tests/wire_format.rs
+++ b/crates/fleet-health/tests/wire_format.rs
@@ -1,6 +1,6 @@
-//! The bytes of the messages about endpoints, of both kinds: operators' overrides for the whole fleet and
-//! faults that balancers report; the digests by which overrides are compared; and the file that keeps them.
-//! Every field has a value of its own, so that two swapped fields or variants show.
+//! Pins the bytes of the messages about operator overrides and fault reports, the digests by which overrides
+//! are compared, and the file that stores overrides. Every field has a different value, so that a swap of two
+//! fields or variants is detected.
 
 use doorproxy::ids::Timestamp;
 use doorproxy_fleet_health::fault_reports::{self, AttributedReport, EndpointIncarnation, FaultReport};
@@ -23,18 +23,18 @@
     vec![entry("s-1", 0x31, true, 0x32), entry("s-2", 0x33, false, 0x34)]
 }
 
-/// The kinds in their order on the wire.
+/// Returns the variant's number on the wire and a description.
 fn override_label(message: &gossip::Message) -> &'static str {
     match message {
-        gossip::Message::DigestRequest { .. } => "0 digests alone",
-        gossip::Message::DigestResponse { .. } => "1 digests, and what differs",
-        gossip::Message::Push { .. } => "2 what is missing there",
+        gossip::Message::DigestRequest { .. } => "0 digest request",
+        gossip::Message::DigestResponse { .. } => "1 digest response",
+        gossip::Message::Push { .. } => "2 push",
     }
 }
 
 #[test]
 fn each_kind_of_message_about_overrides_keeps_its_bytes() {
-    let digests: Digests = std::array::from_fn(|part| 0x10 + part as u64);
+    let digests: Digests = std::array::from_fn(|bucket| 0x10 + bucket as u64);
     let messages = [
         gossip::Message::DigestRequest { digests },
         gossip::Message::DigestResponse { digests, entries: entries() },
@@ -44,28 +44,26 @@
         &messages,
         override_label,
         expect![[r#"
-        0 digests alone: 00101112131415161718191a1b1c1d1e1f
-        1 digests, and what differs: 01101112131415161718191a1b1c1d1e1f0203732d3131013203732d32330034
-        2 what is missing there: 020203732d3131013203732d32330034
+        0 digest request: 00101112131415161718191a1b1c1d1e1f
+        1 digest response: 01101112131415161718191a1b1c1d1e1f0203732d3131013203732d32330034
+        2 push: 020203732d3131013203732d32330034
     "#]],
     );
 }
 
-/// Who sends it goes before a message about faults.
+/// Holds a message about faults with its sender, which precedes it on the wire.
 type FromBalancer = (NodeId, fault_reports::Message);
 
-/// The kinds in their order on the wire, and what may be absent in them.
+/// Returns the variant's number on the wire and a description, which says what is absent.
 fn fault_label((_, message): &FromBalancer) -> &'static str {
     match message {
         fault_reports::Message::Request { last_number: None, reports, .. } if reports.is_empty() => {
-            "0 first report, empty"
+            "0 first request, empty"
         }
-        fault_reports::Message::Request { last_number: None, .. } => "0 first report",
-        fault_reports::Message::Request { last_number: Some(_), .. } => "0 later report",
-        fault_reports::Message::Response { reports, .. } if reports.is_empty() => {
-            "1 answer to a report, empty"
-        }
-        fault_reports::Message::Response { .. } => "1 answer to a report",
+        fault_reports::Message::Request { last_number: None, .. } => "0 first request",
+        fault_reports::Message::Request { last_number: Some(_), .. } => "0 later request",
+        fault_reports::Message::Response { reports, .. } if reports.is_empty() => "1 response, empty",
+        fault_reports::Message::Response { .. } => "1 response",
     }
 }
 
@@ -95,16 +93,16 @@
         &messages,
         fault_label,
         expect![[r#"
-        0 first report, empty: 510021002200
-        0 first report: 51002100220203732d31222403732d322628
-        0 later report: 5100210123220203732d31222403732d322628
-        1 answer to a report, empty: 5101212400
-        1 answer to a report: 5101212402414203732d312a2c434403732d322e30
+        0 first request, empty: 510021002200
+        0 first request: 51002100220203732d31222403732d322628
+        0 later request: 5100210123220203732d31222403732d322628
+        1 response, empty: 5101212400
+        1 response: 5101212402414203732d312a2c434403732d322e30
     "#]],
     );
 }
 
-/// Widths and signs show where a number takes all the bytes that its type has.
+/// Pins the encoded width and sign of numbers that take all bytes of their type.
 #[test]
 fn the_largest_numbers_keep_their_bytes() {
     let push = gossip::Message::Push { entries: vec![entry("s-3", u64::MAX, true, u64::MAX - 1)] };
@@ -112,7 +110,7 @@
         &[push],
         override_label,
         expect![[r#"
-        2 what is missing there: 020103732d33ffffffffffffffffff0101feffffffffffffffff01
+        2 push: 020103732d33ffffffffffffffffff0101feffffffffffffffff01
     "#]],
     );
     let request = fault_reports::Message::Request {
@@ -126,7 +124,7 @@
         &[(from, request)],
         fault_label,
         expect![[r#"
-        0 later report: fcffffffffffffffff0100ffffffffffffffffff0101feffffffffffffffff01fdffffffffffffffff010103732d33feffffffffffffffff01ffffffffffffffffff01
+        0 later request: fcffffffffffffffff0100ffffffffffffffffff0101feffffffffffffffff01fdffffffffffffffff010103732d33feffffffffffffffff01ffffffffffffffffff01
     "#]],
     );
 }
@@ -139,42 +137,43 @@
     overrides
 }
 
-/// Where digests of the same overrides differ, balancers exchange them without end.
+/// Guards against different digests for the same overrides, with which balancers would exchange entries
+/// without end.
 #[test]
 fn overrides_have_the_same_digests_everywhere() {
     let mut lines = String::new();
-    for (part, digest) in some_overrides().digests().into_iter().enumerate() {
-        lines += &format!("part {part:02}: {digest:016x}\n");
+    for (bucket, digest) in some_overrides().digests().into_iter().enumerate() {
+        lines += &format!("bucket {bucket:02}: {digest:016x}\n");
     }
     let mut changed = some_overrides();
     changed.merge(Timestamp(1), &entry("s-1", 3, false, 0x62));
-    let parts = changed.digests().into_iter().zip(some_overrides().digests()).enumerate();
-    for (part, (digest, _)) in parts.filter(|(_, (digest, before))| digest != before) {
-        lines += &format!("part {part:02} after a change: {digest:016x}\n");
+    let buckets = changed.digests().into_iter().zip(some_overrides().digests()).enumerate();
+    for (bucket, (digest, _)) in buckets.filter(|(_, (digest, before))| digest != before) {
+        lines += &format!("bucket {bucket:02} after a change: {digest:016x}\n");
     }
     expect![[r#"
-        part 00: f9af17ccd6aad117
-        part 01: 0000000000000000
-        part 02: 3506ded439340f66
-        part 03: a1a4e47f856a0912
-        part 04: 89022c22229ba26e
-        part 05: c6c70bc77ab29e52
-        part 06: 0000000000000000
-        part 07: 76670cb4a1c76c68
-        part 08: 00a97e13f9a6521b
-        part 09: 0000000000000000
-        part 10: 2f7f619a95cc5c05
-        part 11: be8bd4b82d6f9b89
-        part 12: 5a71d640b1d0b921
-        part 13: 0000000000000000
-        part 14: d344869ba5f4cf60
-        part 15: aaeb7abf4c10092c
-        part 10 after a change: 248eab60dab68531
+        bucket 00: f9af17ccd6aad117
+        bucket 01: 0000000000000000
+        bucket 02: 3506ded439340f66
+        bucket 03: a1a4e47f856a0912
+        bucket 04: 89022c22229ba26e
+        bucket 05: c6c70bc77ab29e52
+        bucket 06: 0000000000000000
+        bucket 07: 76670cb4a1c76c68
+        bucket 08: 00a97e13f9a6521b
+        bucket 09: 0000000000000000
+        bucket 10: 2f7f619a95cc5c05
+        bucket 11: be8bd4b82d6f9b89
+        bucket 12: 5a71d640b1d0b921
+        bucket 13: 0000000000000000
+        bucket 14: d344869ba5f4cf60
+        bucket 15: aaeb7abf4c10092c
+        bucket 10 after a change: 248eab60dab68531
     "#]]
     .assert_eq(&lines);
 }
 
-/// The file outlives the program that wrote it.
+/// A later program must be able to read the file.
 #[test]
 fn the_file_of_overrides_keeps_its_form() {
     let mut overrides = OverrideRegister::default();
--- a/crates/membership/examples/measure.rs
+++ b/crates/membership/examples/measure.rs
@@ -1,5 +1,6 @@
-//! How soon a fleet on a virtual clock detects a death and a join, how often it declares a running node dead, and what that
-//! costs, by size and loss. All figures are simulated; a protocol period is a second.
+//! Measures on a virtual clock how soon a fleet detects a failure and a join, how often it declares a running
+//! node dead, and what that costs, by fleet size and loss. All figures are simulated; a protocol period is
+//! one second.
 //!
 //!     cargo run --release -p doorproxy-membership --example measure
 
@@ -75,19 +76,19 @@
     let others = node_count - 1;
     let gone = [MemberState::Dead, MemberState::Left];
     measurement.first_detection_s =
-        seconds_until(&mut fleet, 300, |fleet| fleet.nodes_believing(victim, &gone) > 0);
+        seconds_until(&mut fleet, 300, |fleet| fleet.count_observers(victim, &gone) > 0);
     measurement.full_detection_s = measurement.first_detection_s
-        + seconds_until(&mut fleet, 300, |fleet| fleet.nodes_believing(victim, &gone) == others);
+        + seconds_until(&mut fleet, 300, |fleet| fleet.count_observers(victim, &gone) == others);
     fleet.start(victim);
     measurement.rejoin_s = seconds_until(&mut fleet, 300, |fleet| {
-        fleet.nodes_believing(victim, &[MemberState::Alive]) == others
+        fleet.count_observers(victim, &[MemberState::Alive]) == others
     });
     measurement.counted_again_s =
         measurement.rejoin_s + seconds_until(&mut fleet, 300, |fleet| fleet.all_nodes_count(node_count));
     measurement
 }
 
-/// The median with the minimum and the maximum.
+/// Formats the median with the minimum and the maximum.
 fn format_median_and_range(measurements: &[Measurement], value: impl Fn(&Measurement) -> f64) -> String {
     let mut values: Vec<f64> = measurements.iter().map(value).collect();
     values.sort_by(f64::total_cmp);
@@ -96,7 +97,9 @@
 
 fn main() {
     println!(
-        "| members | lost | seeds | first believes a death, s | all do | all know of a return | all count it | false deaths an hour | bytes a second and member | datagrams |"
+        "| nodes | loss ratio | seeds | first detection, s | full detection, s | rejoin, s \
+         | counted again, s | false deaths per hour | bytes per node and second \
+         | datagrams per node and second |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for node_count in [3, 10, 30, 100, 300] {
@@ -108,7 +111,7 @@
     }
 }
 
-/// In the order in which the runs end.
+/// Measures with the seeds from 0 to `seed_count`. The results are in the order in which the runs end.
 fn measure_seeds(node_count: usize, loss_ratio: f64, seed_count: u64) -> Vec<Measurement> {
     let measurements = Mutex::new(Vec::new());
     first_failing_seed(seed_count, OnFailure::Continue, |seed| {
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -1,5 +1,6 @@
-//! Every order of network partitions, late responses and a restart among three nodes that are replicas for each other, up to a
-//! stated depth: of two nodes that use full shares, each counts the other. Each mutant is found.
+//! Explores every order of network partitions, late responses and a restart, up to a stated depth and number
+//! of states, among three nodes that are replicas for each other. Any two nodes that use full shares must
+//! count each other. Each mutant must be found.
 
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
@@ -11,29 +12,29 @@
 use expect_test::expect;
 
 const NODES: usize = 3;
-/// A step of time: half of the duration of a lease.
+/// Sets the time that one step advances: half of the duration of a lease.
 const STEP: Ticks = Ticks(500);
 const LEASE_DURATION: Ticks = Ticks(1000);
-/// Higher ages make no difference.
+/// Limits the ages in an abstract state; greater ages make no difference.
 const MAX_AGE: i64 = 3000;
-/// The three network paths between them.
+/// Lists the three links between the nodes.
 const LINKS: [(usize, usize); 3] = [(0, 1), (0, 2), (1, 2)];
 
-/// A seeded bug: one rule of the registry left out.
+/// Selects a rule of the registry that is left out, as a seeded bug.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mutant {
     None,
     /// A node uses a full share as soon as it holds its lease.
     SkipsNewcomerWait,
-    /// A replica drops silent nodes before their leases expire.
-    ForgetsEarly,
-    /// A replica that has just started gives snapshots.
+    /// A replica removes silent nodes before their leases expire.
+    ExpiresEarly,
+    /// A replica gives snapshots right after its start.
     SkipsGracePeriod,
-    /// One replica is enough for a lease.
+    /// A single replica is enough for a lease.
     TrustsOneReplica,
 }
 
-/// A response that is delayed.
+/// Describes a delayed response.
 #[derive(Clone)]
 struct DelayedResponse {
     to: usize,
@@ -55,7 +56,7 @@
 struct ClusterState {
     now: Timestamp,
     nodes: Vec<SimulatedNode>,
-    /// The next response to the first node from the second one is delayed.
+    /// Holds the pair of recipient and replica whose next response is delayed.
     delay_next: Option<(usize, usize)>,
     delayed: Option<DelayedResponse>,
     last_nonce: u64,
@@ -63,7 +64,7 @@
 }
 
 impl ClusterState {
-    /// All that makes a difference for what may follow, with ages in place of times.
+    /// Returns everything that affects later steps, with ages in place of times.
     fn abstract_state(&self) -> Vec<i64> {
         let age = |age: Option<Ticks>| age.map_or(-1, |age| age.0.min(MAX_AGE));
         let bits = |nodes: &BTreeSet<NodeId>| nodes.iter().map(|node| 1 << node.0).sum::<i64>();
@@ -99,7 +100,7 @@
 
 #[derive(Clone)]
 enum Step {
-    /// Time passes, and all nodes exchange heartbeats over the paths that are open.
+    /// Time advances, and all nodes exchange heartbeats over the open links.
     AdvanceTime([bool; 3]),
     DelayResponse(usize, usize),
     DeliverDelayed,
@@ -113,25 +114,25 @@
             Step::AdvanceTime(open) => {
                 let open_links = LINKS.iter().zip(open).filter(|(_, is_open)| **is_open);
                 let labels: Vec<String> = open_links.map(|((a, b), _)| format!("{a}-{b}")).collect();
-                write!(formatter, "pass[{}]", labels.join(" "))
+                write!(formatter, "tick[{}]", labels.join(" "))
             }
-            Step::DelayResponse(to, replica) => write!(formatter, "hold {replica} to {to}"),
-            Step::DeliverDelayed => write!(formatter, "let through"),
-            Step::Crash => write!(formatter, "kill 0"),
-            Step::Restart => write!(formatter, "start 0"),
+            Step::DelayResponse(to, replica) => write!(formatter, "delay {replica} to {to}"),
+            Step::DeliverDelayed => write!(formatter, "deliver delayed"),
+            Step::Crash => write!(formatter, "crash 0"),
+            Step::Restart => write!(formatter, "restart 0"),
         }
     }
 }
 
 struct ThreeNodes {
     mutant: Mutant,
-    /// How often node 0 may crash.
+    /// Limits how often node 0 crashes.
     max_crashes: usize,
-    /// Node 0 has not started yet.
+    /// Is true if node 0 has not started yet.
     has_newcomer: bool,
-    /// Whether responses may be delayed.
+    /// Is true if responses may be delayed.
     delays_responses: bool,
-    /// The paths that are open before the search begins.
+    /// Tells which links are open before the search begins.
     initial_links: [bool; 3],
 }
 
@@ -148,14 +149,14 @@
         }
     }
 
-    /// The rules of the replicas.
+    /// Returns the rules that the replicas apply.
     fn replica_rules(&self) -> RegistryRules {
         let lease_duration =
-            if self.mutant == Mutant::ForgetsEarly { LEASE_DURATION.mul_f64(0.3) } else { LEASE_DURATION };
+            if self.mutant == Mutant::ExpiresEarly { LEASE_DURATION.mul_f64(0.3) } else { LEASE_DURATION };
         RegistryRules { lease_duration, ..self.rules() }
     }
 
-    /// The rules of the nodes that read snapshots.
+    /// Returns the rules that nodes apply when they read snapshots.
     fn reader_rules(&self) -> RegistryRules {
         let mut rules = self.rules();
         match self.mutant {
@@ -229,7 +230,7 @@
         state.delayed.take_if(|response| response.to == 0);
     }
 
-    /// The nodes that the state's `node` counts.
+    /// Returns the nodes that `node` counts in this state.
     fn counted_nodes(&self, state: &ClusterState, node: usize) -> BTreeSet<NodeId> {
         let statuses = state.nodes[node].lease.replica_statuses(state.now);
         let snapshots = statuses.filter_map(|status| status.snapshot);
@@ -242,7 +243,7 @@
     type State = ClusterState;
     type Step = Step;
 
-    /// All nodes that are up have exchanged heartbeats for long.
+    /// Returns a state in which all running nodes have exchanged heartbeats for a long time.
     fn initial_states(&self) -> Vec<ClusterState> {
         let is_up = |index: usize| index > 0 || !self.has_newcomer;
         let mut state = ClusterState {
@@ -299,7 +300,7 @@
         for &node in &full {
             let counted = self.counted_nodes(state, node);
             if let Some(other) = full.iter().find(|&&other| !counted.contains(&node_id(other))) {
-                return Err(format!("{node} and {other} have full parts, and {node} does not count {other}"));
+                return Err(format!("{node} and {other} use full shares, but {node} does not count {other}"));
             }
         }
         Ok(())
@@ -323,7 +324,7 @@
         Case { label: "delayed responses", model: ThreeNodes { delays_responses: true, ..base() } },
         Case { label: "0 may crash and restart", model: ThreeNodes { max_crashes: 1, ..base() } },
         Case {
-            label: "the same, 1 and 2 partitioned before",
+            label: "0 may crash and restart, 1 and 2 are partitioned",
             model: ThreeNodes { max_crashes: 1, initial_links: [true, true, false], ..base() },
         },
         Case { label: "0 has not started yet", model: ThreeNodes { has_newcomer: true, ..base() } },
@@ -333,7 +334,7 @@
 const MAX_DEPTH: usize = 40;
 
 #[test]
-fn no_two_nodes_use_full_shares_without_counting_each_other() {
+fn nodes_with_full_shares_count_each_other() {
     for Case { label, model } in cases(Mutant::None) {
         let exploration = explore(&model, MAX_DEPTH, max_states(8_000));
         println!("{label}: {exploration}");
@@ -349,21 +350,22 @@
     violations.into_iter().next().unwrap_or_else(|| format!("mutant {mutant:?}: not found\n"))
 }
 
-/// A response that counts from its arrival, and not from its request, is not found here: the long retention hides it unless
-/// more responses are late than this model delays. The seeds of `simulated.rs` find it.
+/// The mutant that dates a response to its arrival instead of its request is not found here: the long
+/// retention hides it unless more responses are late than this model delays. The seeds of `simulated.rs` find
+/// it.
 #[test]
 fn every_mutant_is_found() {
     let mutants =
-        [Mutant::SkipsNewcomerWait, Mutant::ForgetsEarly, Mutant::SkipsGracePeriod, Mutant::TrustsOneReplica];
+        [Mutant::SkipsNewcomerWait, Mutant::ExpiresEarly, Mutant::SkipsGracePeriod, Mutant::TrustsOneReplica];
     let report: String = mutants.into_iter().map(describe_first_violation).collect();
     expect![[r#"
-        mutant SkipsNewcomerWait, delayed responses, after 6 steps: 1 and 2 have full parts, and 1 does not count 2
-            pass[0-1 1-2], pass[0-1], pass[0-1], pass[0-1], pass[0-1 0-2], pass[0-2]
-        mutant ForgetsEarly, delayed responses, after 3 steps: 1 and 2 have full parts, and 1 does not count 2
-            pass[0-1 1-2], pass[0-1 0-2], pass[0-2]
-        mutant SkipsGracePeriod, 0 may crash and restart, after 7 steps: 1 and 2 have full parts, and 1 does not count 2
-            pass[0-1 0-2], pass[0-1 0-2], pass[0-1 0-2], pass[0-1 0-2], kill 0, start 0, pass[0-1 0-2]
-        mutant TrustsOneReplica, delayed responses, after 5 steps: 0 and 1 have full parts, and 0 does not count 1
-            pass[0-2 1-2], pass[0-2 1-2], pass[0-2 1-2], pass[1-2], pass[1-2]
+        mutant SkipsNewcomerWait, delayed responses, after 6 steps: 1 and 2 use full shares, but 1 does not count 2
+            tick[0-1 1-2], tick[0-1], tick[0-1], tick[0-1], tick[0-1 0-2], tick[0-2]
+        mutant ExpiresEarly, delayed responses, after 3 steps: 1 and 2 use full shares, but 1 does not count 2
+            tick[0-1 1-2], tick[0-1 0-2], tick[0-2]
+        mutant SkipsGracePeriod, 0 may crash and restart, after 7 steps: 1 and 2 use full shares, but 1 does not count 2
+            tick[0-1 0-2], tick[0-1 0-2], tick[0-1 0-2], tick[0-1 0-2], crash 0, restart 0, tick[0-1 0-2]
+        mutant TrustsOneReplica, delayed responses, after 5 steps: 0 and 1 use full shares, but 0 does not count 1
+            tick[0-2 1-2], tick[0-2 1-2], tick[0-2 1-2], tick[1-2], tick[1-2]
     "#]].assert_eq(&report);
 }
--- a/crates/membership/tests/simulated.rs
+++ b/crates/membership/tests/simulated.rs
@@ -1,5 +1,5 @@
-//! Seeded simulations of whole fleets on a virtual clock: at any time each node that uses a full share is counted, and after the
-//! last fault all nodes agree. Each mutant is found.
+//! Simulates whole fleets on a virtual clock, from seeds. At any time, every node that uses a full share must
+//! be counted by the others, and after the last fault all nodes must agree. Each mutant must be found.
 
 mod virtual_fleet;
 
@@ -40,23 +40,24 @@
 }
 
 #[test]
-fn every_node_with_a_full_share_is_counted_and_all_views_converge() {
+fn full_shares_are_counted_and_views_converge() {
     assert_eq!(first_violation(seed_count(24), Mutant::None), None);
 }
 
 #[test]
 fn every_mutant_is_found() {
-    for mutant in [Mutant::CountsFromLatestRequest, Mutant::ForgetsEarly, Mutant::SkipsNewcomerWait] {
+    for mutant in [Mutant::CountsFromLatestRequest, Mutant::ExpiresEarly, Mutant::SkipsNewcomerWait] {
         let failure = first_violation(400, mutant);
         let FailedSeed { seed, reason } = failure.unwrap_or_else(|| panic!("{mutant:?} was not found"));
         println!("mutant {mutant:?}: seed {seed}, {reason}");
-        assert!(reason.contains("have full parts"), "{mutant:?}: {reason}");
+        assert!(reason.contains("use full shares"), "{mutant:?}: {reason}");
     }
 }
 
-/// Random faults show this in the 1,347th seed only.
+/// Guards against replicas that give incomplete snapshots after a common restart. Random faults produce this
+/// case only with the 1,347th seed, so it has a test of its own.
 #[test]
-fn replicas_restarted_together_answer_nothing_during_the_grace_period() {
+fn replicas_restarted_together_give_no_snapshots() {
     let violation = |mutant| {
         let mut fleet = SimulatedFleet::new(SimulationCase {
             node_count: 9,
@@ -72,10 +73,10 @@
         fleet.violation
     };
     assert_eq!(violation(Mutant::None), None);
-    assert!(violation(Mutant::SkipsGracePeriod).is_some_and(|reason| reason.contains("have full parts")));
+    assert!(violation(Mutant::SkipsGracePeriod).is_some_and(|reason| reason.contains("use full shares")));
 }
 
-/// A fleet of common size has to agree soon, at a small fraction of a percent of a network's capacity.
+/// A fleet of a common size must agree soon, at a small fraction of a percent of a network's capacity.
 #[test]
 fn a_large_fleet_converges_within_seconds_at_low_cost() {
     let case = SimulationCase {
--- a/crates/membership/tests/virtual_fleet/checks.rs
+++ b/crates/membership/tests/virtual_fleet/checks.rs
@@ -1,4 +1,4 @@
-//! The invariants of the fleet, and what its nodes believe of each other.
+//! The invariants of the fleet, and the beliefs of its nodes about each other.
 
 use std::collections::BTreeSet;
 
@@ -10,7 +10,7 @@
 use super::{Mutant, SECOND, SimulatedFleet, SimulatedNode, node_name};
 
 impl SimulatedFleet {
-    /// How many nodes this node counts. `None` where it uses no full share now.
+    /// Returns how many nodes this node counts, or `None` if it uses no full share now.
     fn counted_nodes(&self, index: usize) -> Option<u32> {
         let now = self.clock(index);
         let simulated = &self.nodes[index];
@@ -22,7 +22,7 @@
         node.node_count(now).map(|count| count.upper_bound)
     }
 
-    /// Checks what must hold at every time.
+    /// Checks the invariants, which must hold at every time.
     pub(super) fn check_invariants(&mut self) {
         self.check_counts();
         if self.case.mutant == Mutant::None {
@@ -30,13 +30,13 @@
         }
     }
 
-    /// Each node that uses a full share counts all that do.
+    /// Checks that each node that uses a full share counts all nodes that do.
     fn check_counts(&mut self) {
         let full: Vec<(usize, u32)> =
             (0..self.nodes.len()).filter_map(|index| Some((index, self.counted_nodes(index)?))).collect();
         if let Some((index, counted)) = full.iter().find(|(_, counted)| (*counted as usize) < full.len()) {
             let violation = format!(
-                "{:.4} s: {} counts {counted}, and {} have full parts: {full:?}",
+                "{:.4} s: {} counts {counted} nodes, but {} use full shares: {full:?}",
                 self.now as f64 / SECOND as f64,
                 node_name(*index),
                 full.len()
@@ -45,7 +45,7 @@
         }
     }
 
-    /// All shares add up to at most one, those of nodes without a reliable count included.
+    /// Checks that all shares add up to at most 1, including those of nodes without a reliable count.
     fn check_shares(&mut self) {
         let mut sum = 0.0;
         let mut uncounted = 0;
@@ -65,7 +65,8 @@
         }
     }
 
-    /// A node that does not see the fleet as it is, and what it sees.
+    /// Describes the view of the first node whose view differs from the actual fleet. Returns `None` if there
+    /// is none.
     pub fn disagreement(&self) -> Option<String> {
         let node_count = self.nodes.iter().filter(|simulated| simulated.node.is_some()).count();
         (0..self.nodes.len()).find_map(|index| self.disagreement_of(index, node_count))
@@ -76,20 +77,22 @@
         let node = self.nodes[index].node.as_ref()?;
         let present = node.member_list().present().count() + 1;
         let counted = node.node_count(now);
-        // A short suspicion is common where datagrams are lost, so suspects count as present.
+        // Short suspicions are common while datagrams are lost, so suspects count as present.
         if present == node_count && counted.is_some_and(|count| count.upper_bound as usize == node_count) {
             return None;
         }
-        let doubted = node.member_list().others().filter(|(_, member)| member.state != MemberState::Alive);
-        let doubted: Vec<_> = doubted
+        let not_alive = node.member_list().others().filter(|(_, member)| member.state != MemberState::Alive);
+        let not_alive: Vec<_> = not_alive
             .map(|(name, member)| (name, member.state, member.incarnation, now - member.state_since))
             .collect();
         let name = node_name(index);
-        Some(format!("{name} of {node_count}: {present} present, counted {counted:?}, doubted {doubted:?}"))
+        Some(format!(
+            "{name} of {node_count}: {present} present, counted {counted:?}, not alive {not_alive:?}"
+        ))
     }
 
-    /// What nodes still disagree about when this time has passed. `None` as soon as all agree: with datagrams lost, a
-    /// suspicion now and then goes on.
+    /// Returns the disagreement that remains after this time, or `None` as soon as all nodes agree. While
+    /// datagrams are lost, a few suspicions still occur.
     pub fn disagreement_within(&mut self, seconds: i64) -> Option<String> {
         let until = self.now + seconds * SECOND;
         loop {
@@ -101,7 +104,7 @@
         }
     }
 
-    /// Whether every node that runs counts this many.
+    /// Returns whether every running node counts this many nodes.
     pub fn all_nodes_count(&self, expected: usize) -> bool {
         (0..self.nodes.len()).all(|index| {
             let Some(node) = &self.nodes[index].node else { return true };
@@ -110,8 +113,8 @@
         })
     }
 
-    /// How many of the nodes that run believe one of these states of this member.
-    pub fn nodes_believing(&self, member: usize, states: &[MemberState]) -> usize {
+    /// Returns how many running nodes believe that this member is in one of these states.
+    pub fn count_observers(&self, member: usize, states: &[MemberState]) -> usize {
         let name = node_name(member);
         let nodes = self.nodes.iter().filter_map(|simulated| simulated.node.as_ref());
         let beliefs = nodes.filter_map(|node| node.member_list().get(&name));
@@ -119,7 +122,7 @@
     }
 }
 
-/// As [`Mutant::SkipsNewcomerWait`] counts: without the wait after the start of the lease.
+/// Counts like [`Mutant::SkipsNewcomerWait`]: without the wait after the start of the lease.
 fn count_without_wait(node: &MembershipNode, statuses: Vec<ReplicaStatus>) -> Option<u32> {
     let rules = node.registry_rules();
     let is_acknowledged =
--- a/crates/membership/tests/virtual_fleet/faults.rs
+++ b/crates/membership/tests/virtual_fleet/faults.rs
@@ -1,12 +1,12 @@
-//! Faults that are drawn at random.
+//! Injects random faults.
 
 use super::{Event, LinkState, SECOND, SimulatedFleet};
 
-/// A link, by the indices of its sender and its recipient.
+/// Identifies a link by the indices of its sender and its recipient.
 pub type Link = (usize, usize);
 
 impl SimulatedFleet {
-    /// Injects a fault, and schedules its end and the next one.
+    /// Injects a random fault, and schedules its end and the next fault.
     pub(super) fn inject_fault(&mut self) {
         let draw = self.rng.next_f64() * self.rng.next_f64();
         let duration = ((0.2 + draw * 15.0) * SECOND as f64) as i64;
@@ -40,7 +40,8 @@
         self.schedule(resume_at, Event::Resume(index));
     }
 
-    /// Many nodes crash at once, and restart within a second or after the whole duration.
+    /// Crashes several nodes at once. They restart after a fifteenth of the duration, which is at most about
+    /// a second, or after the whole duration.
     fn crash_several(&mut self, duration: i64) {
         let crash_ratio = self.rng.next_f64();
         let is_short = self.rng.next_f64() < 0.5;
@@ -53,7 +54,8 @@
         }
     }
 
-    /// All that one node sends, or all that it receives, arrives seconds late, and nothing of it is lost.
+    /// Delays all messages that one node sends, or all that it receives, by up to 12 seconds. The fault drops
+    /// none of them.
     fn delay_one(&mut self, ends_at: i64) {
         let node = self.random_index(self.nodes.len());
         let is_sender = self.rng.next_f64() < 0.5;
@@ -97,11 +99,11 @@
 #[derive(Clone, Copy)]
 enum Partition {
     TwoWay,
-    /// Only one side's messages are lost.
+    /// Only the messages of one side are lost.
     OneWay,
-    /// Messages are held back until the end.
+    /// Messages are delayed until the partition ends.
     Stalled,
-    /// Each node hears only the one before it.
+    /// Each node receives messages only from the node before it.
     Ring,
 }
 
--- a/crates/membership/tests/virtual_fleet/mod.rs
+++ b/crates/membership/tests/virtual_fleet/mod.rs
@@ -1,8 +1,9 @@
-//! A fleet of nodes on a virtual clock and network, with faults drawn from a seed: loss, delay, duplication, partitions in one
-//! direction or both, stalled links, pauses, crashes, restarts, drifting clocks, and incarnations from a wall clock that was
-//! set back. It runs the code under test, and models nothing of it a second time.
+//! Simulates a fleet of nodes on a virtual clock and network, with faults drawn from a seed: loss, delay,
+//! duplication, partitions in one direction or both, stalled links, pauses, crashes, restarts, drifting
+//! clocks, and incarnations from a wall clock that was set back. The simulation runs the code under test and
+//! has no second implementation of it.
 
-// The tests and the example each use a part of it.
+// The tests and the example each use only some of the items.
 #![allow(dead_code)]
 
 mod checks;
@@ -20,18 +21,18 @@
 
 use faults::Link;
 
-/// In ticks of the simulation, tenths of a millisecond.
+/// Holds one second in ticks of the simulation, which are tenths of a millisecond.
 pub const SECOND: i64 = 10_000;
 
-/// A seeded bug, made by the network or by the reading of a node's state.
+/// Selects a seeded bug, which is injected by the network or when the state of a node is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutant {
     None,
-    /// A response counts as one to the latest heartbeat.
+    /// A response counts as the response to the latest heartbeat.
     CountsFromLatestRequest,
     /// Replicas leave out nodes that have been silent for a third of a lease.
-    ForgetsEarly,
-    /// A replica that has just started gives a snapshot of those it has heard since.
+    ExpiresEarly,
+    /// A replica gives a snapshot right after its start, of the nodes it has heard from since.
     SkipsGracePeriod,
     /// A node uses a full share as soon as it holds its lease.
     SkipsNewcomerWait,
@@ -42,36 +43,37 @@
     pub seed: u64,
     pub node_count: usize,
     pub replica_count: usize,
-    /// The part of all datagrams that is lost, on any link.
+    /// Sets the ratio of all datagrams that is lost, on any link.
     pub loss_ratio: f64,
     pub clock_drift_ratio: f64,
     pub reserve_ratio: Option<f64>,
     pub configured_count: u32,
-    /// How long faults are injected, in seconds.
+    /// Sets how long faults are injected, in seconds.
     pub fault_phase_s: f64,
     pub quiet_phase_s: f64,
     pub mutant: Mutant,
-    /// The least time between two checks of the invariants, in ticks; 0 checks with every event that may matter.
+    /// Sets the shortest time between two checks of the invariants, in ticks. With 0, the invariants are
+    /// checked after every event that may affect them.
     pub check_interval: i64,
 }
 
-/// One node with its clock and its queue.
+/// Holds one node with its clock and its queue of messages.
 struct SimulatedNode {
     name: String,
     node: Option<MembershipNode>,
-    /// Ticks of the node's clock in one tick of the simulation.
+    /// Holds the ticks of the node's clock per tick of the simulation.
     clock_rate: f64,
     clock_offset: i64,
     is_paused: bool,
-    /// Messages that arrived while it was paused.
+    /// Holds the messages that arrived while the node was paused.
     unread_messages: Vec<(SocketAddr, Envelope)>,
     next_tick_at: i64,
 }
 
 impl SimulatedNode {
-    /// A node that does not run yet.
-    fn draw(index: usize, case: &SimulationCase, rng: &mut Pcg) -> SimulatedNode {
-        // The rates of two clocks differ by no more than the stated drift.
+    /// Creates a node that does not run yet, with a random clock.
+    fn with_random_clock(index: usize, case: &SimulationCase, rng: &mut Pcg) -> SimulatedNode {
+        // The rates of any two clocks differ by at most the configured ratio.
         let clock_rate = 1.0 + case.clock_drift_ratio * (rng.next_f64() - 0.5);
         let clock_offset = (rng.next_f64() * 1e9) as i64;
         SimulatedNode {
@@ -91,7 +93,7 @@
     Healthy,
     Cut,
     Stalled,
-    /// Messages arrive so many ticks later.
+    /// Messages arrive this many ticks later.
     Delayed(i64),
 }
 
@@ -104,7 +106,7 @@
     Restart(usize),
 }
 
-/// A node has come to believe something else of another.
+/// Records that a node has changed its belief about another one.
 pub struct StateChange {
     pub at: i64,
     pub observer: String,
@@ -141,9 +143,9 @@
     pub violation: Option<String>,
     pub datagrams: u64,
     pub bytes: u64,
-    /// How often a node that runs was declared dead.
+    /// Counts how often a running node was declared dead.
     pub false_deaths: u64,
-    /// What nodes came to believe of others, in the order of time.
+    /// Holds the changes of beliefs, in the order of time.
     pub state_changes: Vec<StateChange>,
     replica_heard_at: BTreeMap<(usize, NodeId), i64>,
     latest_nonces: BTreeMap<(String, String), u64>,
@@ -167,7 +169,9 @@
 impl SimulatedFleet {
     pub fn new(case: SimulationCase) -> SimulatedFleet {
         let mut rng = Pcg::new(case.seed);
-        let nodes = (0..case.node_count).map(|index| SimulatedNode::draw(index, &case, &mut rng)).collect();
+        let nodes = (0..case.node_count)
+            .map(|index| SimulatedNode::with_random_clock(index, &case, &mut rng))
+            .collect();
         let mut fleet = SimulatedFleet {
             now: 0,
             rng,
@@ -203,7 +207,7 @@
     }
 
     pub fn start(&mut self, index: usize) {
-        // After a wall clock was set back, an incarnation is smaller than the one before.
+        // An incarnation is smaller than the one before if the wall clock was set back.
         let incarnation = 1_000_000 + self.now as u64 / 10;
         let incarnation = if self.rng.next_f64() < 0.2 { incarnation - 900_000 } else { incarnation };
         let settings = self.settings(index, Incarnation(incarnation.max(1)));
@@ -276,7 +280,7 @@
 
     fn resume(&mut self, index: usize) {
         self.nodes[index].is_paused = false;
-        // A resumed process may read its buffered messages before or after its clock.
+        // A resumed process may handle its buffered messages before or after its tick.
         let unread = std::mem::take(&mut self.nodes[index].unread_messages);
         let ticks_first = self.rng.next_f64() < 0.5;
         if ticks_first {
@@ -304,7 +308,8 @@
             let is_plain_probe = matches!(&event, Event::Deliver { message, .. }
                 if matches!(message.message, Message::Ping(_) | Message::Ack(_)));
             self.handle(event);
-            // A check goes through the snapshots of all nodes, which is slow.
+            // A check reads the snapshots of all nodes, which is slow, so pings and acknowledgements do not
+            // trigger one.
             if !is_plain_probe && at - self.checked_at >= self.case.check_interval {
                 self.checked_at = at;
                 self.check_invariants();
@@ -315,7 +320,7 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            // Each start and resumption schedules a tick of its own, which replaces the earlier one.
+            // Each start and resumption schedules its own tick, which replaces the earlier one.
             Event::Tick(index) if self.nodes[index].next_tick_at > self.now => {}
             Event::Tick(index) => self.tick(index),
             Event::Deliver { to, from, message } => self.deliver(to, from, message),
@@ -330,7 +335,7 @@
         }
     }
 
-    /// Runs the fault phase and the quiet phase after it.
+    /// Runs the fault phase and then the quiet phase.
     pub fn run(&mut self) {
         self.schedule(5 * SECOND, Event::Fault);
         let end = ((self.case.fault_phase_s + 20.0 + self.case.quiet_phase_s) * SECOND as f64) as i64;
--- a/crates/membership/tests/virtual_fleet/network.rs
+++ b/crates/membership/tests/virtual_fleet/network.rs
@@ -9,9 +9,9 @@
     Event, LinkState, Mutant, RecordedEffects, SECOND, SimulatedFleet, node_address, node_index, node_name,
 };
 
-/// How long a replica remembers a node with [`Mutant::ForgetsEarly`].
-const FORGETFUL_RETENTION: i64 = SECOND;
-/// Further messages to a paused node are dropped, as by a full socket buffer.
+/// Sets how long a replica keeps a node with [`Mutant::ExpiresEarly`].
+const MUTANT_RETENTION: i64 = SECOND;
+/// Limits the buffered messages to a paused node; further ones are dropped, as by a full socket buffer.
 const MAX_UNREAD_MESSAGES: usize = 500;
 
 impl SimulatedFleet {
@@ -37,7 +37,8 @@
         let link_delay = if let LinkState::Delayed(delay) = self.link(from, to) { delay as f64 } else { 0.0 };
         let copies = if self.rng.next_f64() < 0.01 { 2 } else { 1 };
         for _ in 0..copies {
-            // Most arrive within two milliseconds, a few are overtaken by later ones, and some take seconds.
+            // Most messages arrive within two milliseconds, a few are overtaken by later ones, and some take
+            // seconds.
             let network_delay = match self.rng.next_f64() {
                 unit if unit < 0.001 => self.rng.next_f64() * 8.0 * SECOND as f64,
                 unit if unit < 0.02 => self.rng.next_f64() * 0.1 * SECOND as f64,
@@ -50,8 +51,8 @@
 
     fn mutated(&self, to: usize, from: usize, mut message: Envelope) -> Envelope {
         let replica = &self.nodes[from].name;
-        let is_heard = |node: &NodeId| {
-            self.replica_heard_at.get(&(from, *node)).is_some_and(|at| self.now - at < FORGETFUL_RETENTION)
+        let is_recent = |node: &NodeId| {
+            self.replica_heard_at.get(&(from, *node)).is_some_and(|at| self.now - at < MUTANT_RETENTION)
         };
         match (&mut message.message, self.case.mutant) {
             (
@@ -64,8 +65,8 @@
                     *nonce = Nonce(latest);
                 }
             }
-            (Message::RegistrySnapshot { nodes, version, .. }, Mutant::ForgetsEarly) => {
-                nodes.retain(is_heard);
+            (Message::RegistrySnapshot { nodes, version, .. }, Mutant::ExpiresEarly) => {
+                nodes.retain(is_recent);
                 *version ^= self.now as u64;
             }
             (Message::InGracePeriod(nonce), Mutant::SkipsGracePeriod) => {
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! The bytes of membership messages, and the numbers that all nodes derive alike. Every field has a value
-//! of its own, so that two swapped fields or variants show.
+//! Pins the bytes of membership messages, and the numbers that all nodes compute alike. Every field has a
+//! different value, so that a swap of two fields or variants is detected.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -18,19 +18,19 @@
     Envelope { sender: "n1".to_string(), incarnation: Incarnation(0x21), message, updates: Vec::new() }
 }
 
-/// The variants in their order on the wire.
+/// Returns the variant's number on the wire and a description.
 fn label(message: &Envelope) -> &'static str {
     match message.message {
         Message::Ping(_) => "0 direct probe",
-        Message::Ack(_) => "1 answer to a probe",
-        Message::IndirectPing(..) => "2 probe on behalf of another",
-        Message::Nack(_) => "3 no answer to a probe on behalf of another",
-        Message::Join => "4 request for all members",
-        Message::Heartbeat { .. } => "5 registration at a replica",
-        Message::RegistrySnapshot { .. } => "6 part of a replica's table",
-        Message::RegistryUnchanged { .. } => "7 table unchanged",
-        Message::InGracePeriod(_) => "8 replica started too recently",
-        Message::Leave => "9 goodbye",
+        Message::Ack(_) => "1 acknowledgement",
+        Message::IndirectPing(..) => "2 indirect probe",
+        Message::Nack(_) => "3 negative acknowledgement",
+        Message::Join => "4 join",
+        Message::Heartbeat { .. } => "5 heartbeat",
+        Message::RegistrySnapshot { .. } => "6 chunk of a registry snapshot",
+        Message::RegistryUnchanged { .. } => "7 registry unchanged",
+        Message::InGracePeriod(_) => "8 replica in its grace period",
+        Message::Leave => "9 leave",
     }
 }
 
@@ -60,20 +60,20 @@
         label,
         expect![[r#"
         0 direct probe: 026e3121001100
-        1 answer to a probe: 026e3121011200
-        2 probe on behalf of another: 026e31210213026e3200
-        3 no answer to a probe on behalf of another: 026e3121031400
-        4 request for all members: 026e31210400
-        5 registration at a replica: 026e31210515161700
-        6 part of a replica's table: 026e3121063132333402353600
-        7 table unchanged: 026e312107181900
-        8 replica started too recently: 026e3121081a00
-        9 goodbye: 026e31210900
+        1 acknowledgement: 026e3121011200
+        2 indirect probe: 026e31210213026e3200
+        3 negative acknowledgement: 026e3121031400
+        4 join: 026e31210400
+        5 heartbeat: 026e31210515161700
+        6 chunk of a registry snapshot: 026e3121063132333402353600
+        7 registry unchanged: 026e312107181900
+        8 replica in its grace period: 026e3121081a00
+        9 leave: 026e31210900
     "#]],
     );
 }
 
-/// Widths show where a number takes all the bytes that its type has.
+/// Pins the encoded width of numbers that take all bytes of their type.
 #[test]
 fn the_largest_numbers_keep_their_bytes() {
     let snapshot = Message::RegistrySnapshot {
@@ -100,26 +100,26 @@
         &[largest],
         update_label,
         expect![[r#"
-        0 healthy, at an IPv4 address: 026e33ffffffffffffffffff0100ffffffffffff030465617374ffffffff0f00
+        0 alive, at an IPv4 address: 026e33ffffffffffffffffff0100ffffffffffff030465617374ffffffff0f00
     "#]],
     );
     wire::assert_wire_format(
         &messages,
         label,
         expect![[r#"
-        5 registration at a replica: 026e312105ffffffffffffffffff01feffffffffffffffff01fdffffffffffffffff0100
-        6 part of a replica's table: 026e31fcffffffffffffffff0106ffffffffffffffffff01feffffffffffffffff01ffff03feff0301fdffffffffffffffff0100
+        5 heartbeat: 026e312105ffffffffffffffffff01feffffffffffffffff01fdffffffffffffffff0100
+        6 chunk of a registry snapshot: 026e31fcffffffffffffffff0106ffffffffffffffffff01feffffffffffffffff01ffff03feff0301fdffffffffffffffff0100
     "#]],
     );
 }
 
 fn update_label(update: &MemberUpdate) -> &'static str {
     match (update.state, update.address.is_ipv6()) {
-        (MemberState::Alive, false) => "0 healthy, at an IPv4 address",
-        (MemberState::Suspect, false) => "1 under suspicion, at an IPv4 address",
-        (MemberState::Dead, false) => "2 failed, at an IPv4 address",
-        (MemberState::Left, false) => "3 stopped on its own, at an IPv4 address",
-        (MemberState::Alive, true) => "0 healthy, at an IPv6 address",
+        (MemberState::Alive, false) => "0 alive, at an IPv4 address",
+        (MemberState::Suspect, false) => "1 suspect, at an IPv4 address",
+        (MemberState::Dead, false) => "2 dead, at an IPv4 address",
+        (MemberState::Left, false) => "3 left, at an IPv4 address",
+        (MemberState::Alive, true) => "0 alive, at an IPv6 address",
         (MemberState::Suspect | MemberState::Dead | MemberState::Left, true) => "at an IPv6 address",
     }
 }
@@ -128,7 +128,7 @@
     MemberUpdate {
         name: "n3".to_string(),
         incarnation: Incarnation(0x41),
-        address: address.parse::<SocketAddr>().expect("an address"),
+        address: address.parse::<SocketAddr>().expect("the address is valid"),
         zone: "east".to_string(),
         refutation_count: 0x42,
         state,
@@ -150,26 +150,26 @@
         &updates(),
         update_label,
         expect![[r#"
-        0 healthy, at an IPv4 address: 026e3341000a010203a1860104656173744200
-        1 under suspicion, at an IPv4 address: 026e3341000a010203a1860104656173744201
-        2 failed, at an IPv4 address: 026e3341000a010203a1860104656173744202
-        3 stopped on its own, at an IPv4 address: 026e3341000a010203a1860104656173744203
-        0 healthy, at an IPv6 address: 026e334101fd010203000000000000000000000004a1860104656173744200
+        0 alive, at an IPv4 address: 026e3341000a010203a1860104656173744200
+        1 suspect, at an IPv4 address: 026e3341000a010203a1860104656173744201
+        2 dead, at an IPv4 address: 026e3341000a010203a1860104656173744202
+        3 left, at an IPv4 address: 026e3341000a010203a1860104656173744203
+        0 alive, at an IPv6 address: 026e334101fd010203000000000000000000000004a1860104656173744200
     "#]],
     );
     let message = Envelope { updates: updates()[..2].to_vec(), ..envelope(Message::Ack(Nonce(0x11))) };
     wire::assert_wire_format(
         &[message],
-        |_| "answer to a probe that carries two",
+        |_| "acknowledgement with two updates",
         expect![[r#"
-        answer to a probe that carries two: 026e3121011102026e3341000a010203a1860104656173744200026e3341000a010203a1860104656173744201
+        acknowledgement with two updates: 026e3121011102026e3341000a010203a1860104656173744200026e3341000a010203a1860104656173744201
     "#]],
     );
 }
 
-/// Replicas identify nodes by these numbers alone.
+/// Replicas identify nodes by these hashes alone, so a name must have the same hash in every build.
 #[test]
-fn a_name_has_the_same_number_everywhere() {
+fn node_ids_are_the_same_in_every_build() {
     let mut numbers = String::new();
     for name in ["", "n1", "n2", "balancer-east-0017", "n\u{e9}"] {
         numbers += &format!("\"{}\": {:016x}\n", name.escape_default(), NodeId::from_name(name).0);
@@ -184,9 +184,10 @@
     .assert_eq(&numbers);
 }
 
-/// A replica records only nodes whose fingerprint is its own.
+/// A replica ignores nodes whose fingerprint differs from its own, so equal rules must have the same
+/// fingerprint in every build.
 #[test]
-fn a_fleets_configuration_has_the_same_number_everywhere() {
+fn rules_fingerprints_are_the_same_in_every_build() {
     let rules = |names: &[&str], seconds, drift| RegistryRules {
         replicas: names.iter().map(|name| NodeId::from_name(name)).collect::<BTreeSet<NodeId>>(),
         lease_duration: Ticks::from_secs_f64(seconds),
@@ -196,24 +197,23 @@
         ("no replicas", rules(&[], 3.0, 0.01)),
         ("one replica", rules(&["n1"], 3.0, 0.01)),
         ("three replicas", rules(&["n1", "n2", "n3"], 3.0, 0.01)),
-        ("three replicas, another time", rules(&["n1", "n2", "n3"], 3.5, 0.01)),
+        ("three replicas, longer lease", rules(&["n1", "n2", "n3"], 3.5, 0.01)),
         ("three replicas, other clock drift", rules(&["n1", "n2", "n3"], 3.0, 0.02)),
         ("five replicas", rules(&["n1", "n2", "n3", "n4", "n5"], 3.0, 0.01)),
     ];
     let mut numbers = String::new();
     for (label, rules) in cases {
-        let (number, expiry, majority) = (rules.fingerprint(), rules.retention().0, rules.majority());
-        numbers += &format!(
-            "{label}: {number:016x}, expiry {expiry} tenths of a millisecond, majority {majority}\n"
-        );
+        let (fingerprint, retention, majority) = (rules.fingerprint(), rules.retention().0, rules.majority());
+        numbers +=
+            &format!("{label}: {fingerprint:016x}, retention {retention} ticks, majority {majority}\n");
     }
     expect![[r#"
-        no replicas: 8185c051370f55e7, expiry 61207 tenths of a millisecond, majority 1
-        one replica: 314d4e50d58df96e, expiry 61207 tenths of a millisecond, majority 1
-        three replicas: 4d1f0d053beaa2b6, expiry 61207 tenths of a millisecond, majority 2
-        three replicas, another time: e536a0e074a52c79, expiry 71408 tenths of a millisecond, majority 2
-        three replicas, other clock drift: 72973f363816bc14, expiry 62425 tenths of a millisecond, majority 2
-        five replicas: 226cd84e87035641, expiry 61207 tenths of a millisecond, majority 3
+        no replicas: 8185c051370f55e7, retention 61207 ticks, majority 1
+        one replica: 314d4e50d58df96e, retention 61207 ticks, majority 1
+        three replicas: 4d1f0d053beaa2b6, retention 61207 ticks, majority 2
+        three replicas, longer lease: e536a0e074a52c79, retention 71408 ticks, majority 2
+        three replicas, other clock drift: 72973f363816bc14, retention 62425 ticks, majority 2
+        five replicas: 226cd84e87035641, retention 61207 ticks, majority 3
     "#]]
     .assert_eq(&numbers);
 }
