--- a/crates/fleet-health/src/fault_reports/client.rs
+++ b/crates/fleet-health/src/fault_reports/client.rs
@@ -16,8 +16,8 @@
 const REQUESTS_PER_LIFETIME: f64 = 10.0;
 /// Sets the weight of reports from which an endpoint is suspected.
 const SUSPICION_THRESHOLD: f64 = 0.9;
-/// Is added to the weight of reports from more than one zone, because they reach the endpoint over different
-/// networks.
+/// Sets the weight that is added to reports from more than one zone, because they reach the endpoint over
+/// different networks.
 const CROSS_ZONE_BONUS: f64 = 0.25;
 /// Sets the ratio of all endpoints above which a reporter is assumed to be faulty itself.
 const MAX_REPORTED_RATIO: f64 = 0.34;
--- a/crates/membership/src/node/partial_snapshots.rs
+++ b/crates/membership/src/node/partial_snapshots.rs
@@ -5,7 +5,7 @@
 use super::heartbeat::SnapshotChunk;
 use crate::ids::{NodeId, Nonce};
 
-/// Limits the incomplete snapshots; beyond it the oldest one is dropped.
+/// Limits the incomplete snapshots. The oldest one is dropped when another one arrives.
 const MAX_PARTIAL_SNAPSHOTS: usize = 16;
 
 /// Identifies one snapshot of one replica.
--- a/crates/model-checker/src/model.rs
+++ b/crates/model-checker/src/model.rs
@@ -6,10 +6,10 @@
 /// Defines a model: its initial states, the possible steps in each state, and an invariant that must hold in
 /// every state.
 pub trait Model {
-    /// Is a state of the model. States with equal hashes are treated as one, so `Hash` must cover everything
-    /// that affects later steps, and should cover nothing else.
+    /// Represents a state of the model. States with equal hashes are treated as one, so `Hash` must cover
+    /// everything that affects later steps, and should cover nothing else.
     type State: Clone + Hash;
-    /// Is a step from one state to another. Its `Debug` is the text in a trace.
+    /// Represents a step from one state to another. Its `Debug` is the text in a trace.
     type Step: Clone + Debug;
 
     /// Returns the initial states.
