--- a/crates/cli/src/fault_reports.rs
+++ b/crates/cli/src/fault_reports.rs
@@ -1,6 +1,6 @@
 //! Reports endpoints that this balancer has ejected on its own evidence to the registry replicas, and passes
-//! reports of enough others to the dispatcher. The peer thread drives it. Second-hand reports are never
-//! passed on, and the endpoint list is never locked while the dispatcher is asked.
+//! endpoints that enough other balancers report to the dispatcher. The peer thread drives it. Reports of
+//! others are never forwarded to peers, and the endpoint list is never locked during calls to the dispatcher.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex};
@@ -22,10 +22,10 @@
 
 use crate::peer_thread::ticks;
 
-/// How often the dispatcher is asked for ejected endpoints: evidence is reported with at most this delay.
+/// The interval of checks for ejected endpoints, and so the longest delay before evidence is reported.
 const EVIDENCE_CHECK_INTERVAL: Ticks = Ticks(500);
 
-/// A message with its author, as it is sent: postcard writes the fields in this order.
+/// A message with its author, as sent on the wire. Postcard encodes the fields in this order.
 #[derive(Serialize, Deserialize)]
 pub struct AuthoredMessage {
     pub author: NodeId,
@@ -37,15 +37,16 @@
 
 type Ejections<'a> = BTreeMap<&'a EndpointIncarnation, EjectedEndpoint>;
 
-/// Failures that this balancer has seen itself.
+/// The evidence of this balancer's own attempts against an endpoint.
 #[derive(Clone, Copy)]
 struct OwnEvidence {
     consecutive_ejections: u32,
-    /// The last of the failures was no earlier than this.
+    /// The earliest possible time of the last failure.
     not_before: Timestamp,
 }
 
-/// What became of endpoints that peers reported: `tested` were put on probation for it.
+/// The outcomes of peers' reports: `tested` endpoints were put on probation, and own attempts then confirmed
+/// or refuted that they are faulty.
 #[derive(Clone, Copy, Default)]
 pub struct ReportCounts {
     pub tested: i64,
@@ -53,7 +54,7 @@
     pub refuted: i64,
 }
 
-/// The parts of this balancer that reports come from and go to.
+/// The components that supply ejections and receive fault reports.
 pub struct HealthSources {
     pub dispatcher: Dispatcher,
     pub endpoint_list: Arc<Mutex<DiscoveryState>>,
@@ -66,19 +67,19 @@
     sources: HealthSources,
     report_lifetime: Ticks,
     report_client: ReportClient,
-    /// Only on a registry replica.
+    /// Present only on a registry replica.
     collector: Option<ReportCollector>,
     last_checked_at: Timestamp,
     own_evidence: BTreeMap<EndpointIncarnation, OwnEvidence>,
-    /// On probation because of peers' reports, which own attempts have not confirmed or refuted yet.
+    /// The endpoints on probation whose reports own attempts have neither confirmed nor refuted yet.
     unconfirmed: BTreeSet<EndpointIncarnation>,
-    /// The newest evidence that the dispatcher was told of.
+    /// The time of the newest evidence that was passed to the dispatcher, by endpoint.
     reported_to_dispatcher: BTreeMap<EndpointIncarnation, Timestamp>,
     counts: ReportCounts,
 }
 
 impl FaultReporter {
-    /// Starts without evidence. The collector exists only on a registry replica.
+    /// Creates a reporter without evidence and, on a registry replica, its collector.
     pub fn new(
         runtime: SystemRuntime,
         now: Timestamp,
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Advances the time: what is to be sent, and when to call again.
+    /// Advances the reporter to `now`, and returns the messages to send and the time of the next call.
     pub fn tick(&mut self, now: Timestamp) -> TickResult<Message> {
         if now - self.last_checked_at >= EVIDENCE_CHECK_INTERVAL {
             self.check_evidence(now);
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Handles a message of a peer. A response goes to the author of the request.
+    /// Handles a message of a peer, and returns the response to the author of a request.
     pub fn on_message(&mut self, now: Timestamp, authored: &AuthoredMessage) -> Outgoing {
         let AuthoredMessage { author, message } = authored;
         match message {
@@ -137,17 +138,17 @@
         }
     }
 
-    /// A message as this balancer sends it.
+    /// Wraps a message with this balancer as its author.
     pub fn with_author(&self, message: Message) -> AuthoredMessage {
         AuthoredMessage { author: self.local_node, message }
     }
 
-    /// For the metrics.
+    /// Returns the counts for the metrics.
     pub fn counts(&self) -> ReportCounts {
         self.counts
     }
 
-    /// For `doorproxy verdicts`.
+    /// Returns the status for `doorproxy verdicts`.
     pub fn status(&self, now: Timestamp, node_name: impl Fn(NodeId) -> String) -> Value {
         let received = self.report_client.received_reports(now).map(|report| {
             json!({
@@ -168,7 +169,7 @@
         let ejected = self.sources.dispatcher.ejected_endpoints().into_iter();
         let ejections: Ejections =
             ejected.filter_map(|ejection| Some((incarnations.get(&ejection.endpoint)?, ejection))).collect();
-        self.settle_unconfirmed(&ejections);
+        self.resolve_unconfirmed(&ejections);
         self.update_own_evidence(&ejections);
         self.apply_peer_reports(now, &incarnations);
         let report_lifetime = self.report_lifetime;
@@ -187,14 +188,14 @@
         list.incarnations().map(incarnation).collect()
     }
 
-    /// Compares peers' reports with what own attempts have shown since: an endpoint that is no longer on
-    /// probation is either ejected on own evidence, or healthy or removed.
-    fn settle_unconfirmed(&mut self, ejections: &Ejections) {
+    /// Resolves peers' reports by the results of own attempts. An endpoint that is no longer on probation is
+    /// ejected on own evidence, healthy or removed.
+    fn resolve_unconfirmed(&mut self, ejections: &Ejections) {
         let is_on_probation =
             |endpoint: &EndpointIncarnation| ejections.get(endpoint).is_some_and(|of| of.reported_by_peers);
-        let settled = self.unconfirmed.iter().filter(|endpoint| !is_on_probation(endpoint));
-        let settled: Vec<EndpointIncarnation> = settled.cloned().collect();
-        for endpoint in settled {
+        let resolved = self.unconfirmed.iter().filter(|endpoint| !is_on_probation(endpoint));
+        let resolved: Vec<EndpointIncarnation> = resolved.cloned().collect();
+        for endpoint in resolved {
             let is_faulty = own_ejection(ejections, &endpoint).is_some();
             self.report_client.record_outcome(&endpoint, is_faulty);
             self.unconfirmed.remove(&endpoint);
@@ -218,14 +219,14 @@
             }
             let evidence = OwnEvidence {
                 consecutive_ejections: ejection.consecutive_ejections,
-                // The failure came after the last check.
+                // The failure happened after the last check.
                 not_before: self.last_checked_at,
             };
             self.own_evidence.insert((*endpoint).clone(), evidence);
         }
     }
 
-    /// Tells the dispatcher once of each newer evidence.
+    /// Passes each suspected endpoint to the dispatcher, once for each newer evidence.
     fn apply_peer_reports(
         &mut self,
         now: Timestamp,
@@ -259,7 +260,7 @@
         ejected.iter().any(|ejection| ejection.endpoint == id && ejection.reported_by_peers)
     }
 
-    /// Messages for this balancer's own collector are handled at once, with their responses.
+    /// Handles messages to this balancer's own collector and their responses at once, and returns the rest.
     fn deliver_local(&mut self, now: Timestamp, messages: Outgoing) -> Outgoing {
         let (local, remote): (Outgoing, Outgoing) =
             messages.into_iter().partition(|outgoing| outgoing.to == self.local_node);
@@ -272,7 +273,7 @@
     }
 }
 
-/// An endpoint's ejection, where own evidence led to it.
+/// Returns the ejection of an endpoint if it was caused by own evidence.
 fn own_ejection<'a>(ejections: &'a Ejections, endpoint: &EndpointIncarnation) -> Option<&'a EjectedEndpoint> {
     ejections.get(endpoint).filter(|ejection| !ejection.reported_by_peers)
 }
--- a/crates/cli/src/fleet_file.rs
+++ b/crates/cli/src/fleet_file.rs
@@ -1,4 +1,4 @@
-//! Reading of the fleet file, for the server and for commands.
+//! Reads the fleet file for the server and for commands.
 
 use std::path::Path;
 
@@ -7,10 +7,10 @@
 use crate::error::FleetFileError;
 use crate::files::read_text;
 
-/// Reads a fleet file. Warnings are printed to stderr.
+/// Reads a fleet file, and prints warnings to stderr.
 ///
 /// # Errors
-/// Where the file can't be read or is invalid; the error then holds the findings.
+/// Returns an error if the file can't be read, or one with the findings if it is invalid.
 pub fn read_fleet_file(path: &Path) -> Result<FleetConfig, FleetFileError> {
     let text = read_text(path)?;
     let CheckedFleetConfig { config, findings } = fleet::check(&text);
--- a/crates/cli/src/leases.rs
+++ b/crates/cli/src/leases.rs
@@ -1,6 +1,6 @@
-//! Permits: leases that operators' scripts hold through a balancer, so that no more than so many of a fleet
-//! do something at a time. The peer thread drives this balancer's lease clients and, on a registry replica,
-//! its acceptor. A permit is never reported as held beyond its expiry.
+//! Permits are leases that operators' scripts hold through a balancer to limit how many hosts of a fleet do
+//! something at the same time. The peer thread drives this balancer's lease clients and, on a registry
+//! replica, its acceptor. A permit is never reported as held after its expiry.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -24,23 +24,24 @@
 const MAX_TICK_INTERVAL: Ticks = Ticks(5_000);
 const MIN_TICK_INTERVAL: Ticks = Ticks(10);
 
-/// One permit of the fleet file, of which a fleet has as many as it has slots.
+/// One permit of the fleet file. Each slot is a lease, so at most as many holders exist as there are slots.
 struct Permit {
-    /// At most one of them is held by this balancer.
+    /// The lease clients by slot. This balancer holds at most one slot.
     slots: Vec<LeaseClient>,
-    /// The slot that is held or tried for.
+    /// The slot that is held or requested.
     current_slot: usize,
     logged_token: Option<u64>,
 }
 
 impl Permit {
-    /// The first slot tried differs from balancer to balancer.
+    /// Creates a permit. The first slot depends on the balancer, so that fewer compete for the same slot.
     fn new(slots: Vec<LeaseClient>, local_node: NodeId) -> Permit {
         let current_slot = (local_node.0 % slots.len() as u64) as usize;
         Permit { slots, current_slot, logged_token: None }
     }
 
-    /// Stays with a held slot. Where another balancer holds the current one, the next slot may be free.
+    /// Keeps a held slot. If another balancer holds the current slot, moves on to the next, which may be
+    /// free.
     fn choose_slot(&mut self, now: Timestamp, is_requested: bool) {
         if let Some(held) = self.slots.iter().position(|slot| slot.held(now).is_some()) {
             self.current_slot = held;
@@ -54,20 +55,21 @@
         proposer.is_idle() && proposer.observed(now).is_some_and(|observed| observed.value.holder.is_some())
     }
 
-    /// Why the permit isn't held yet, for people.
+    /// Describes for operators why the permit isn't held yet.
     fn describe_wait(&self, now: Timestamp) -> String {
         match self.slots[self.current_slot].proposer.observed(now) {
             Some(observed) => format!(
-                "all places are taken: token {} stands for {:.1} s more, or longer if renewed",
+                "all slots are held: token {} is valid for {:.1} s more, or longer if renewed",
                 observed.value.token.0,
                 observed.remaining.as_secs_f64()
             ),
-            None => "most keepers have not answered yet, or have started lately".to_string(),
+            None => "no majority of replicas has answered yet; replicas that started recently don't vote"
+                .to_string(),
         }
     }
 }
 
-/// To which client the responses about a lease go.
+/// The position of a lease client that receives the responses about its lease.
 struct SlotIndex {
     permit: String,
     slot: usize,
@@ -80,12 +82,12 @@
     peer_state: Arc<SharedPeerState>,
     permits: BTreeMap<String, Permit>,
     slot_of_lease: BTreeMap<LeaseId, SlotIndex>,
-    /// Only on a registry replica.
+    /// Present only on a registry replica.
     acceptor: Option<Acceptor>,
 }
 
 impl PermitLeases {
-    /// Starts without a lease. The acceptor exists only on a registry replica.
+    /// Creates the lease clients, which hold no lease yet, and on a registry replica the acceptor.
     pub fn new(
         runtime: SystemRuntime,
         now: Timestamp,
@@ -113,7 +115,7 @@
         PermitLeases { runtime, rules, peer_state, permits, slot_of_lease, acceptor }
     }
 
-    /// Advances the time: what is to be sent, and when to call again.
+    /// Advances the clients to `now`, and returns the messages to send and the time of the next call.
     pub fn tick(&mut self, now: Timestamp) -> TickResult<messages::Message> {
         let mut outgoing = Vec::new();
         let mut next_at = now + MAX_TICK_INTERVAL;
@@ -123,7 +125,7 @@
             for (index, slot) in permit.slots.iter_mut().enumerate() {
                 let request = match slot.request() {
                     _ if is_requested && index == permit.current_slot => Some(LeaseRequest::Hold),
-                    // Held, or tried for and perhaps held: released, so that nobody waits for its expiry.
+                    // Also releases an unconfirmed lease, so that others needn't wait for its expiry.
                     Some(_) => Some(LeaseRequest::Release),
                     None => None,
                 };
@@ -137,7 +139,7 @@
         TickResult { outgoing, next_tick_at: next_at.max(now + MIN_TICK_INTERVAL) }
     }
 
-    /// Handles a message of a peer. Requests are answered by the acceptor of a registry replica.
+    /// Handles a message of a peer. Only a registry replica, which has an acceptor, answers requests.
     pub fn on_message(&mut self, now: Timestamp, envelope: &Envelope) -> Outgoing {
         let sender = NodeId::from_name(&envelope.sender);
         let message = &envelope.message;
@@ -155,13 +157,13 @@
         outgoing.unwrap_or_default()
     }
 
-    /// Shows the callers of the admin API what is held.
+    /// Publishes the held permits to the admin API.
     fn publish(&mut self, now: Timestamp) {
         let mut shared_permits = self.peer_state.permits();
         for (name, permit) in &mut self.permits {
             let Some(shared) = shared_permits.get_mut(name) else { continue };
             let held = permit.slots.iter().find_map(|slot| slot.held(now));
-            // A released permit is no longer held, whatever is still on its way.
+            // A released permit counts as not held, even before its release has reached the replicas.
             let held = held.filter(|_| shared.requested_until.is_some());
             shared.lease = held.map(|held| (held.token.0, held.expires_at));
             shared.reason = permit.describe_wait(now);
@@ -173,7 +175,7 @@
         }
     }
 
-    /// For `doorproxy leases`.
+    /// Returns the status for `doorproxy leases`.
     pub fn status(&self, now: Timestamp) -> Value {
         let permits = self.permits.iter().map(|(name, permit)| {
             let slots = permit.slots.iter().map(|slot| slot_as_json(slot, now));
@@ -187,8 +189,8 @@
     }
 }
 
-/// Incarnations are Unix times in milliseconds. Used as the lowest token, they make sure that no token from
-/// before the replicas lost their state is larger.
+/// Creates a lease client whose lowest token is the incarnation, a Unix time in milliseconds. Even if the
+/// replicas have lost their state, new tokens are larger than all earlier ones.
 fn lease_client(now: Timestamp, holder: ProcessIdentity, lease: LeaseId, duration: Ticks) -> LeaseClient {
     let seed = holder.node.0 ^ holder.incarnation.0;
     LeaseClient::new(now, seed, holder, lease, duration, FencingToken(holder.incarnation.0))
--- a/crates/cli/src/peer_thread.rs
+++ b/crates/cli/src/peer_thread.rs
@@ -1,6 +1,6 @@
-//! The peer thread: one UDP socket, on which membership, leases, quotas, overrides and fault reports are
-//! exchanged. Nothing on the request path waits for it. Every value that it publishes carries its expiry, and
-//! so holds whatever becomes of the thread.
+//! The peer thread exchanges membership, leases, quotas, overrides and fault reports over one UDP socket.
+//! Nothing on the request path waits for it. Every value that it publishes has an expiry, so the values stay
+//! safe to use even if the thread stalls or ends.
 
 mod control_loop;
 mod delivery;
@@ -44,47 +44,50 @@
 const THREAD_NAME: &str = "peers";
 const MICROS_PER_TICK: u128 = 100;
 
-/// Why the peer thread could not start.
+/// An error that prevents the start of the peer thread.
 #[derive(Debug, Error)]
 pub enum PeerThreadError {
     #[error(transparent)]
     KeyFile(#[from] FileError),
     #[error("{}: {message}", path.display())]
     Keys { path: PathBuf, message: String },
-    #[error("keeper {name} is this balancer, and is at {listed} there and at {advertised} here")]
+    #[error(
+        "peers.keepers: {name} is this balancer and is listed at {listed}, but it advertises {advertised}"
+    )]
     ReplicaAddress { name: String, listed: SocketAddr, advertised: SocketAddr },
     #[error(transparent)]
     Quotas(#[from] UnknownTenant),
-    #[error("peers {address}: {source}")]
+    #[error("peers.listen: {address} can't be bound: {source}")]
     Bind { address: SocketAddr, source: io::Error },
-    #[error("peers: {0}")]
+    #[error("the peer thread could not start: {0}")]
     Thread(#[source] io::Error),
 }
 
-/// A duration of the fleet file, rounded down to whole ticks.
+/// Converts a duration of the fleet file to ticks, rounding down.
 pub fn ticks(duration: Duration) -> Ticks {
     Ticks((duration.as_micros() / MICROS_PER_TICK) as i64)
 }
 
-/// The running thread.
+/// The handle of the running peer thread.
 pub struct PeerThread {
     stop_requested: Arc<AtomicBool>,
     thread: JoinHandle<()>,
 }
 
 impl PeerThread {
-    /// Tells the peers once that this process sends no more requests, and ends the thread.
+    /// Announces once to the peers that this process sends no more requests, and waits for the thread to end.
     pub fn leave_and_join(self) {
         self.stop_requested.store(true, Ordering::Relaxed);
         let _ = self.thread.join();
     }
 }
 
-/// Starts the thread; none where the fleet file configures no peers.
+/// Starts the thread. Returns `None` if the fleet file configures no peers.
 ///
 /// # Errors
-/// Where the key can't be read, the file contradicts the configuration, or the address can't be listened on.
-/// An address in use is waited for instead, since the predecessor of this process may still have it.
+/// Returns an error if the key file can't be read, the fleet file contradicts the configuration, or the
+/// address can't be bound. An address in use is not an error: the thread waits until it is free, since the
+/// predecessor of this process may still hold it.
 pub fn start(
     runtime: SystemRuntime,
     config: &Config,
@@ -125,7 +128,7 @@
     })
 }
 
-/// A registry replica has to be listed at the address that it advertises.
+/// Checks that a registry replica is listed at the address that it advertises.
 fn check_own_address(config: &Config, peers: &PeersConfig) -> Result<(), PeerThreadError> {
     match peers.registry_replicas.get(&config.name) {
         Some(&listed) if listed != peers.advertised_address => Err(PeerThreadError::ReplicaAddress {
@@ -178,8 +181,8 @@
     })
 }
 
-/// The Unix time in milliseconds. It increases with each start unless the clock moves back, which peers
-/// detect.
+/// Returns the Unix time in milliseconds. It increases with each start unless the clock moves back, which
+/// peers detect.
 fn new_incarnation() -> Incarnation {
     Incarnation(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64)
 }
--- a/crates/cli/src/peer_thread/control_loop.rs
+++ b/crates/cli/src/peer_thread/control_loop.rs
@@ -22,12 +22,12 @@
 use crate::leases::PermitLeases;
 use crate::quotas::FleetQuotas;
 
-/// How often the status for operators is published.
+/// The interval at which the status for the admin API is published.
 const STATUS_INTERVAL: Ticks = Ticks(2_500);
-/// A process without a peer for this long logs once where it looked for them.
+/// A process that knows no peer after this time logs the addresses that it has tried, once.
 const NO_PEERS_WARNING_DELAY: Ticks = Ticks(100_000);
 
-/// The protocols, and what they publish to.
+/// The peer protocols and the shared state that they publish to.
 pub struct PeerLoop {
     pub(super) runtime: SystemRuntime,
     pub(super) dispatcher: Dispatcher,
@@ -41,14 +41,14 @@
     pub(super) logged_share: Option<LoggedShare>,
 }
 
-/// The last log line about the fleet's size.
+/// The values in the last log line about the fleet's size.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct LoggedShare {
     balancer_count: u32,
     is_counted: bool,
 }
 
-/// When the loop has to publish and warn, and how much it may read.
+/// The times at which the loop publishes and warns, and the rate limit of datagrams.
 struct Schedule {
     started_at: Timestamp,
     next_status_at: Timestamp,
@@ -57,7 +57,7 @@
 }
 
 impl PeerLoop {
-    /// Runs until it is asked to stop, and then tells the peers that this process leaves.
+    /// Runs until a stop is requested, then announces to the peers that this process leaves.
     pub fn run(&mut self, socket: &PeerSocket, stop_requested: &AtomicBool) {
         let started_at = self.runtime.now();
         let mut schedule = Schedule {
@@ -75,12 +75,12 @@
             }
             let next_at = self.tick_all(socket, now);
             self.publish_status_if_due(now, &mut schedule);
-            self.warn_if_alone(now, &mut schedule);
+            self.warn_if_no_peers(now, &mut schedule);
             self.receive_one(socket, next_at, &mut schedule.limiter, &mut buffer);
         }
     }
 
-    /// Advances all protocols, and returns when the first of them wants to be called again.
+    /// Advances all protocols, and returns the earliest time at which one of them has to be called again.
     fn tick_all(&mut self, socket: &PeerSocket, now: Timestamp) -> Timestamp {
         let mut effects = MemberEffects { runtime: self.runtime, socket };
         let mut next_at = self.members.tick(now, &mut effects);
@@ -104,7 +104,7 @@
         next_at
     }
 
-    /// The overrides are locked only while the messages are put together, not while they are sent.
+    /// Gossips the overrides. They are locked while the messages are built, but not while they are sent.
     fn tick_gossip(&mut self, socket: &PeerSocket, now: Timestamp) -> Timestamp {
         let tick = {
             let overrides = self.peer_state.overrides();
@@ -127,7 +127,7 @@
         }
     }
 
-    fn warn_if_alone(&mut self, now: Timestamp, schedule: &mut Schedule) {
+    fn warn_if_no_peers(&mut self, now: Timestamp, schedule: &mut Schedule) {
         let is_early = now - schedule.started_at <= NO_PEERS_WARNING_DELAY;
         if schedule.has_warned || is_early || self.members.member_list().others().next().is_some() {
             return;
@@ -142,7 +142,7 @@
         );
     }
 
-    /// Waits for a datagram until the next tick is due. One over the rate limit is dropped unopened.
+    /// Waits for one datagram until the next tick is due. A datagram over the rate limit is dropped unopened.
     fn receive_one(
         &mut self,
         socket: &PeerSocket,
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Tells the dispatcher which part of the fleet's budgets is this balancer's, and until when.
+    /// Passes this balancer's share of the fleet's budgets to the dispatcher, with its expiry.
     pub fn publish_fleet_share(&mut self, now: Timestamp) {
         let estimate = self.members.estimate_fleet(now);
         self.dispatcher.set_fleet_share(LeasedFleetShare {
@@ -180,7 +180,11 @@
         if self.logged_share.replace(share) == Some(share) {
             return;
         }
-        let source = if is_counted { "counted by a majority of replicas" } else { "the configured fallback" };
+        let source = if is_counted {
+            "counted by a majority of replicas"
+        } else {
+            "the fallback until a majority of replicas counts them"
+        };
         log_line!(self.runtime, "members: {balancer_count} balancers share the fleet's budgets, {source}");
     }
 }
--- a/crates/cli/src/peer_thread/delivery.rs
+++ b/crates/cli/src/peer_thread/delivery.rs
@@ -1,4 +1,4 @@
-//! To which addresses messages go. A message whose receiver has no known address is dropped.
+//! Chooses the address for each outgoing message. A message whose receiver has no known address is dropped.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 use super::socket::PeerSocket;
 use crate::fault_reports;
 
-/// The peer whose message is being answered.
+/// The peer that sent the message now being handled.
 #[derive(Clone, Copy)]
 pub struct Requester {
     pub node: NodeId,
@@ -25,8 +25,8 @@
 }
 
 impl PeerLoop {
-    /// Sends requests of this balancer's lease clients to replicas. Its own replica is asked directly; the
-    /// answer may complete a majority, so it is handled at once.
+    /// Sends requests of this balancer's lease clients to replicas. A replica in this process is called
+    /// directly, and its response is handled at once, since it may complete a majority.
     pub fn send_lease_requests(
         &mut self,
         socket: &PeerSocket,
@@ -68,7 +68,7 @@
         lease_messages::Envelope { sender: self.members.settings().name.clone(), message }
     }
 
-    /// Sends messages about quotas; those to the requester are responses.
+    /// Sends messages about quotas. Messages to the requester are responses.
     pub fn send_quota_messages(
         &self,
         socket: &PeerSocket,
@@ -80,7 +80,7 @@
         self.send_to_replicas(socket, Channel::Quotas, messages, requester);
     }
 
-    /// Sends fault reports; those to the requester are responses.
+    /// Sends fault reports. Messages to the requester are responses.
     pub fn send_fault_reports(
         &self,
         socket: &PeerSocket,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Responses go to the address that the request came from, all other messages to replicas.
+    /// Sends responses to the address that the request came from, and all other messages to replicas.
     fn send_to_replicas(
         &self,
         socket: &PeerSocket,
@@ -124,8 +124,8 @@
     }
 }
 
-/// The addresses of all peers that may exist: those that are known and, before any is known, those in the
-/// fleet file.
+/// Returns the addresses of all peers that may exist: the known members, the registry replicas and the
+/// seeds.
 pub fn possible_peers(members: &MembershipNode) -> Vec<SocketAddr> {
     let settings = members.settings();
     let known = members.member_list().others().map(|(_, member)| member.address);
--- a/crates/cli/src/peer_thread/dispatch.rs
+++ b/crates/cli/src/peer_thread/dispatch.rs
@@ -1,4 +1,4 @@
-//! Hands received datagrams to the protocol of their channel.
+//! Passes received datagrams to the protocol of their channel.
 
 use std::net::SocketAddr;
 
@@ -15,8 +15,10 @@
 use crate::fault_reports::AuthoredMessage;
 
 impl PeerLoop {
+    /// Handles a datagram and sends the responses.
+    ///
     /// # Errors
-    /// Where the datagram can't be opened, or its message can't be decoded.
+    /// Returns an error if the datagram can't be opened or its message can't be decoded.
     pub fn dispatch(
         &mut self,
         socket: &PeerSocket,
@@ -41,7 +43,8 @@
         Ok(())
     }
 
-    /// The response to a request goes to its sender; a response may lead to requests, which go to replicas.
+    /// Handles a message about a lease. A request is answered to its sender. A response can cause further
+    /// requests, which go to replicas.
     fn on_lease_message(
         &mut self,
         socket: &PeerSocket,
@@ -72,7 +75,8 @@
         self.send_fault_reports(socket, outgoing, Some(requester));
     }
 
-    /// The overrides are locked only while the message is handled, not while the answer is sent.
+    /// Merges overrides of a peer. They are locked while the message is handled, but not while the answer is
+    /// sent.
     fn on_overrides(
         &mut self,
         socket: &PeerSocket,
--- a/crates/cli/src/peer_thread/pacing.rs
+++ b/crates/cli/src/peer_thread/pacing.rs
@@ -1,4 +1,4 @@
-//! How long the peer thread waits, how many datagrams it reads, and what it drops unread.
+//! The time limits and the datagram rate limit of the peer thread, and its counters of dropped datagrams.
 
 use std::time::Duration;
 
@@ -6,21 +6,21 @@
 use doorproxy_peer_transport::datagram::DatagramError;
 use doorproxy_peer_transport::rate_limiter::RateLimiter;
 
-/// The longest wait for a datagram, and so the longest delay until a request to stop is seen.
+/// The longest wait for a datagram, and so the longest delay before a stop request is noticed.
 pub const MAX_RECEIVE_WAIT: Duration = Duration::from_millis(50);
-/// The shortest wait, also where a tick is overdue: at least one attempt to receive separates two ticks.
+/// The shortest wait, even if a tick is overdue, so that the loop tries to receive between any two ticks.
 pub const MIN_RECEIVE_WAIT: Duration = Duration::from_millis(1);
-/// A datagram that a full buffer of the system doesn't take in this time is lost.
+/// A datagram is dropped if the system's send buffer stays full for this long.
 pub const SEND_TIMEOUT: Duration = Duration::from_millis(1);
 const MAX_DATAGRAM_BURST: f64 = 2000.0;
 const MAX_DATAGRAMS_PER_SECOND: f64 = 6000.0;
 
-/// Limits the datagrams that are opened, since opening one costs more than receiving it.
+/// Creates the limiter of opened datagrams. Opening a datagram costs more than receiving it.
 pub fn datagram_limiter(now: Timestamp) -> RateLimiter {
     RateLimiter::new(now, MAX_DATAGRAM_BURST, MAX_DATAGRAMS_PER_SECOND)
 }
 
-/// Datagrams dropped, by cause.
+/// The number of dropped datagrams by cause.
 #[derive(Clone, Copy, Default)]
 pub struct DroppedDatagrams {
     pub malformed: i64,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// All of them.
+    /// Returns the number of all dropped datagrams.
     pub fn total(&self) -> i64 {
         self.malformed + self.unauthenticated + self.unknown_version + self.undecodable + self.rate_limited
     }
--- a/crates/cli/src/peer_thread/socket.rs
+++ b/crates/cli/src/peer_thread/socket.rs
@@ -1,4 +1,4 @@
-//! The UDP socket of the peer thread, with the codec that seals and opens its datagrams.
+//! The UDP socket of the peer thread and the codec that seals and opens its datagrams.
 
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -16,32 +16,32 @@
 use super::pacing::{MAX_RECEIVE_WAIT, SEND_TIMEOUT};
 use super::status::member_state_name;
 
-/// Room for one byte more than is valid, so that an oversized datagram isn't taken for a valid one.
+/// A buffer one byte larger than a valid datagram, so that an oversized one is not truncated to a valid one.
 pub type ReceiveBuffer = [u8; MAX_DATAGRAM_BYTES + 1];
 
-/// A datagram as it arrived, still sealed.
+/// A received datagram that has not been opened yet.
 pub struct ReceivedDatagram<'a> {
     pub bytes: &'a [u8],
     pub sender: SocketAddr,
 }
 
-/// A bound socket.
+/// A bound socket and its codec.
 pub struct PeerSocket {
     socket: UdpSocket,
     codec: DatagramCodec,
 }
 
 impl PeerSocket {
-    /// The address is never shared between processes: whoever has it is the one process of this name that
-    /// peers know.
+    /// Binds the address exclusively: peers know only one process of each name, the one that holds the
+    /// address.
     pub fn bind(address: SocketAddr, codec: &DatagramCodec) -> io::Result<PeerSocket> {
         let socket = UdpSocket::bind(address)?;
         socket.set_write_timeout(Some(SEND_TIMEOUT))?;
         Ok(PeerSocket { socket, codec: codec.clone() })
     }
 
-    /// Waits until the predecessor of this process frees the address, and so speaks for both no longer. None
-    /// where the thread is stopped first.
+    /// Waits until the predecessor of this process frees the address; until then, it represents both processes to
+    /// peers. Returns `None` if a stop is requested first.
     pub fn wait_for_address(
         runtime: SystemRuntime,
         address: SocketAddr,
@@ -50,7 +50,8 @@
     ) -> Option<PeerSocket> {
         log_line!(
             runtime,
-            "members: {address} is taken, by an older process of this balancer say; until it is free this one is not counted"
+            "members: address {address} is in use, probably by the predecessor; \
+             this process joins once it is free"
         );
         while !stop_requested.load(Ordering::Relaxed) {
             if let Ok(socket) = PeerSocket::bind(address, codec) {
@@ -61,15 +62,15 @@
         None
     }
 
-    /// Sends one message. Messages that are too large or can't be sent are lost, as they may be on the
-    /// network.
+    /// Sends one message. A message that is too large or can't be sent is dropped, which the protocols
+    /// tolerate like loss on the network.
     pub fn send(&self, channel: Channel, receiver: SocketAddr, message: &impl Serialize) {
         if let Some(datagram) = self.codec.seal(channel, message) {
             let _ = self.socket.send_to(&datagram, receiver);
         }
     }
 
-    /// None where nothing arrives in this time.
+    /// Receives one datagram. Returns `None` if none arrives within the timeout.
     pub fn receive<'a>(
         &self,
         timeout: Duration,
@@ -80,14 +81,16 @@
         Some(ReceivedDatagram { bytes: &buffer[..length], sender })
     }
 
+    /// Opens a datagram, and returns its channel and content.
+    ///
     /// # Errors
-    /// Where the datagram is malformed, or was sealed with another key or version.
+    /// Returns an error if the datagram is malformed, or was sealed with another key or version.
     pub fn open<'a>(&self, datagram: &'a [u8]) -> Result<(Channel, &'a [u8]), DatagramError> {
         self.codec.open(datagram)
     }
 }
 
-/// The effects of the membership protocol.
+/// Sends the messages of the membership protocol and logs its member changes.
 pub struct MemberEffects<'a> {
     pub runtime: SystemRuntime,
     pub socket: &'a PeerSocket,
--- a/crates/cli/src/peer_thread/status.rs
+++ b/crates/cli/src/peer_thread/status.rs
@@ -1,5 +1,5 @@
-//! The status of the peer protocols for the admin API, and the metrics. Its JSON keys are public: scripts
-//! read them.
+//! The status of the peer protocols for the admin API, and their metrics. The JSON keys are a public
+//! interface that scripts read.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 
 type Metrics = Vec<(&'static str, i64)>;
 
-/// As logged, and as JSON names it.
+/// Returns the name of a state in the log and in JSON.
 pub fn member_state_name(state: MemberState) -> &'static str {
     match state {
         MemberState::Alive => "alive",
@@ -27,7 +27,7 @@
 }
 
 impl PeerLoop {
-    /// Must not be called while the overrides are locked.
+    /// Returns the status and the metrics. Locks the overrides, so the caller must not hold that lock.
     pub fn status(&mut self, now: Timestamp) -> PeersSnapshot {
         let estimate = self.members.estimate_fleet(now);
         let quotas = self.quotas.as_ref().map(|quotas| quotas.status(now));
@@ -153,7 +153,7 @@
     names.map(|name| (NodeId::from_name(name), name)).collect()
 }
 
-/// In milliseconds' precision.
+/// Returns the time in seconds, rounded to milliseconds.
 fn rounded_seconds(time: Ticks) -> f64 {
     (time.as_secs_f64() * 1e3).round() / 1e3
 }
--- a/crates/cli/src/process.rs
+++ b/crates/cli/src/process.rs
@@ -1,4 +1,5 @@
-//! What both servers need of their process: a runtime of one thread, signals, and the panic hook.
+//! Process setup that the balancer and the sidecar share: a single-threaded runtime, signals and the panic
+//! hook.
 
 use std::future::Future;
 
@@ -9,7 +10,7 @@
 use crate::error::ServeError;
 use crate::exit;
 
-/// Runs a server on a runtime of one thread, and writes the rest of the log after it.
+/// Runs a server on a single-threaded runtime, then flushes the log.
 pub fn run_on_runtime<F: Future<Output = Result<(), ServeError>>>(
     serve: impl FnOnce(SystemRuntime) -> F,
 ) -> Result<(), ServeError> {
@@ -21,9 +22,8 @@
     result
 }
 
-/// Lets a panic on any thread end the process, since a server that goes on with half-made decisions loses
-/// more than a restart does. The log thread is excepted: a log that can't be written doesn't stop the
-/// service.
+/// Makes a panic on any thread end the process, since going on with partly applied decisions does more harm
+/// than a restart. The log thread is exempt: a log that can't be written must not stop the service.
 fn exit_on_panic() {
     let print = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
@@ -34,12 +34,13 @@
     }));
 }
 
-/// Registers a handler: from the call on, the signal doesn't end the process any more.
+/// Registers a handler. From this call on, the signal no longer ends the process.
 pub fn signal_stream(kind: SignalKind) -> Result<Signal, ServeError> {
     signal(kind).map_err(ServeError::Signals)
 }
 
-/// Waits for SIGTERM or SIGINT. Both handlers are registered by the call, before the future is polled.
+/// Registers handlers for SIGTERM and SIGINT, and returns a future that waits for either. The handlers are in
+/// place before the future is polled.
 pub fn shutdown_signal() -> Result<impl Future<Output = ()>, ServeError> {
     let mut terminate = signal_stream(SignalKind::terminate())?;
     let mut interrupt = signal_stream(SignalKind::interrupt())?;
--- a/crates/cli/src/quotas.rs
+++ b/crates/cli/src/quotas.rs
@@ -1,6 +1,6 @@
 //! Fleet-wide tenant quotas: the rules from the fleet file, and this balancer's quota client, which the peer
-//! thread drives. Admission is decided by the policy; the client only answers how long a request would have
-//! to wait.
+//! thread drives. The client only tells how long a request would have to wait; the dispatcher's policy
+//! decides about its admission.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex};
@@ -23,18 +23,18 @@
 
 use crate::peer_thread::ticks;
 
-/// Rejections are logged no more often, for each limit.
+/// The shortest interval between two log lines about rejections by the same limit.
 const REJECTION_LOG_INTERVAL: Ticks = Ticks(10_000);
 
-/// The fleet file has a limit on a tenant that the balancer's configuration doesn't name.
+/// The fleet file limits a tenant that is missing from the balancer's configuration.
 #[derive(Debug, Error)]
-#[error("limits: the configuration has no tenant {tenant}; it has {}", known.join(", "))]
+#[error("limits.tenants: {tenant:?} is not a tenant of the configuration, which has {}", known.join(", "))]
 pub struct UnknownTenant {
     pub tenant: String,
     pub known: Vec<String>,
 }
 
-/// The admin API's view of the quotas, and the sums over all limits for the metrics.
+/// The status of the quotas for the admin API, and the sums over all limits for the metrics.
 pub struct QuotaStatus {
     pub json: Value,
     pub rejected: i64,
@@ -42,12 +42,12 @@
     pub disconnected_limits: i64,
 }
 
-/// A tenant's limit has this name, so that limits of other kinds can stand beside it.
+/// Returns the name of a tenant's limit. The prefix leaves room for limits of other kinds.
 fn quota_name(tenant: &str) -> String {
     format!("tenant {tenant}")
 }
 
-/// The rules that a file sets for a fleet of so many balancers.
+/// Returns the quota rules of a fleet file for a fleet of `balancers` balancers.
 pub fn quota_rules(config: &QuotasConfig, peers: &PeersConfig, balancers: u32) -> QuotaRules {
     let limits = config.tenants.iter().map(|(tenant, quota)| {
         let fallback_rate = match quota.when_disconnected {
@@ -67,7 +67,7 @@
     }
 }
 
-/// The rules of the leases under which replicas allocate.
+/// Returns the rules of the leases that permit replicas to allocate quotas.
 pub fn allocator_lease_rules(
     config: &QuotasConfig,
     peers: &PeersConfig,
@@ -80,9 +80,9 @@
     }
 }
 
-/// What the dispatcher asks before it admits a tenant's request.
+/// The quotas that the dispatcher checks before it admits a tenant's request.
 struct TenantQuotas {
-    /// By the index of the tenant.
+    /// The limits, indexed by tenant.
     quota_of_tenant: Vec<Option<LimitId>>,
     client: Arc<Mutex<QuotaClient>>,
 }
@@ -98,7 +98,7 @@
     }
 }
 
-/// The state of a limit's log line.
+/// The number of rejections and the time of a limit's last log line.
 #[derive(Clone, Copy)]
 struct LoggedRejections {
     count: u64,
@@ -109,7 +109,7 @@
     const NONE: LoggedRejections = LoggedRejections { count: 0, at: Timestamp(i64::MIN) };
 }
 
-/// The quota client of this balancer and, where the balancer is a registry replica, the allocator.
+/// The quota client of this balancer and, on a registry replica, the allocator.
 pub struct FleetQuotas {
     runtime: SystemRuntime,
     rules: Arc<QuotaRules>,
@@ -119,10 +119,10 @@
 }
 
 impl FleetQuotas {
-    /// Connects the dispatcher, which has to happen before the first request.
+    /// Creates the client and sets it as the dispatcher's limits. Must be called before the first request.
     ///
     /// # Errors
-    /// Where a limit is on a tenant that the configuration does not name.
+    /// Returns an error if a limited tenant is missing from the configuration.
     pub fn new(
         runtime: SystemRuntime,
         now: Timestamp,
@@ -144,22 +144,22 @@
         Ok(FleetQuotas { runtime, rules, node, local_holder, logged_rejections: BTreeMap::new() })
     }
 
-    /// A message as this process sends it.
+    /// Wraps a message with this process as its sender.
     pub fn envelope(&self, message: Message) -> Envelope {
         Envelope { sender: self.local_holder, message }
     }
 
-    /// Advances the time: what is to be sent, and when to call again.
+    /// Advances the node to `now`, and returns the messages to send and the time of the next call.
     pub fn tick(&mut self, now: Timestamp) -> TickResult<Message> {
         self.node.tick(now)
     }
 
-    /// Handles a message of a peer. What is to be sent to that same peer is the response.
+    /// Handles a message of a peer. Returned messages to that peer are the response.
     pub fn on_message(&mut self, now: Timestamp, envelope: &Envelope) -> Outgoing {
         self.node.on_message(now, envelope.sender, &envelope.message)
     }
 
-    /// Logs the requests rejected since the last line about the same limit.
+    /// Logs the number of requests rejected since the last log line about the same limit.
     pub fn log_rejections(&mut self, now: Timestamp) {
         for status in self.limit_statuses(now) {
             let logged = self.logged_rejections.get(&status.limit);
@@ -186,7 +186,7 @@
         );
     }
 
-    /// For `doorproxy limits`, and for the metrics.
+    /// Returns the status for `doorproxy limits` and the metrics.
     pub fn status(&self, now: Timestamp) -> QuotaStatus {
         let statuses = self.limit_statuses(now);
         let limits = statuses.iter().map(|status| self.limit_as_json(status)).collect::<Vec<Value>>();
--- a/crates/cli/src/recovery_state.rs
+++ b/crates/cli/src/recovery_state.rs
@@ -1,5 +1,5 @@
-//! Stores the recovery state on a thread of its own, and reads what the last process stored. A start never
-//! waits longer than [`READ_TIMEOUT`] for the disk, and no content of the directory prevents it.
+//! Stores the recovery state on its own thread, and reads the state that the last process stored. A start
+//! waits at most [`READ_TIMEOUT`] for the disk, and no content of the directory can prevent it.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -16,54 +16,54 @@
 use crate::error::ServeError;
 
 const THREAD_NAME: &str = "state";
-/// Without the stored state a process starts as after the loss of its directory: it asks discovery, and
-/// serves.
+/// The longest wait for the stored state. Without it, a process starts as if its state directory were lost:
+/// it gets the endpoints from discovery and serves.
 const READ_TIMEOUT: Duration = Duration::from_secs(1);
 const MS_PER_SECOND: f64 = 1e3;
 
 type LoadResult = Result<PersistedState, LoadError>;
 
-/// The way to the thread that writes, and what the last process stored.
+/// The handle of the writer thread, and the state that the last process stored.
 pub struct RecoveryStore {
     pub store: Arc<dyn StateStore>,
     pub restored: RestoredState,
 }
 
-/// The machine's clocks, and the queue of the thread that writes.
+/// The state store of this process: the machine's clocks and the queue of the writer thread.
 struct StateWriter {
     write_queue: SyncSender<PersistedState>,
 }
 
 impl StateStore for StateWriter {
     fn moment(&self) -> ClockReading {
-        current_moment()
+        read_clocks()
     }
 
     fn save(&self, state: PersistedState) {
-        // A full queue drops this state; the next one supersedes it.
+        // If the queue is full, this state is dropped; the next one replaces it anyway.
         let _ = self.write_queue.try_send(state);
     }
 }
 
-/// Reads the wall clock, and the time since boot with the identity of that boot.
-pub fn current_moment() -> ClockReading {
+/// Reads the wall clock, the time since boot and the boot ID.
+pub fn read_clocks() -> ClockReading {
     let read = |path: &str| std::fs::read_to_string(path).unwrap_or_default();
     let uptime = read("/proc/uptime");
     let uptime_s: Option<f64> = uptime.split(' ').next().and_then(|text| text.parse().ok());
     let boot_id = read("/proc/sys/kernel/random/boot_id").trim().to_string();
     ClockReading {
         wall_ms: SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64,
-        // The two are valid only together.
+        // The boot ID and the time since boot are valid only together.
         boot_id: uptime_s.map_or(String::new(), |_| boot_id),
         since_boot_ms: uptime_s.map_or(0, |seconds| (seconds * MS_PER_SECOND) as u64),
     }
 }
 
-/// Starts the thread, which does all that touches the disk, so that a disk that hangs doesn't delay the
-/// start.
+/// Starts the writer thread and restores the stored state. The thread does all disk access, so that a disk
+/// that hangs delays the start by at most [`READ_TIMEOUT`].
 ///
 /// # Errors
-/// Where the thread can't be started.
+/// Returns an error if the thread can't be started.
 pub fn start_state_writer(
     runtime: SystemRuntime,
     directory: &Path,
@@ -75,7 +75,7 @@
     let file = directory.state_path(owner.balancer);
     let balancer = owner.balancer.to_string();
     let write = move || {
-        // Nobody receives it where the start has gone on without.
+        // The send fails if the start has timed out waiting for the state.
         let _ = load_sender.send(directory.load(&balancer));
         write_states(runtime, &mut directory, &states);
     };
@@ -85,7 +85,7 @@
     Ok(RecoveryStore { store: Arc::new(StateWriter { write_queue }), restored })
 }
 
-/// Writes until the process ends. Each change of the outcome is logged once.
+/// Writes states until the process ends. Logs only changes of the outcome: a new error, or a success after one.
 fn write_states(
     runtime: SystemRuntime,
     directory: &mut StateDirectory<LocalDisk>,
@@ -98,9 +98,9 @@
             continue;
         }
         if error.is_empty() {
-            log_line!(runtime, "state: it is kept again");
+            log_line!(runtime, "state: saving succeeds again");
         } else {
-            log_line!(runtime, "state: it can't be kept: {error}");
+            log_line!(runtime, "state: could not be saved: {error}");
         }
         last_error = error;
     }
@@ -115,21 +115,22 @@
     let file = file.display();
     match loaded.recv_timeout(READ_TIMEOUT) {
         Ok(Ok(state)) if !state_file::has_settings(settings_hash, &state.learned_state) => {
-            log_line!(runtime, "state: {file}: it is not of these settings; it starts without");
+            log_line!(runtime, "state: {file} is ignored: it was written under other settings");
             RestoredState::default()
         }
         Ok(Ok(state)) => {
             let endpoint_count = state.endpoints.len();
-            log_line!(runtime, "state: {endpoint_count} servers of version {} are kept", state.list_version);
-            RestoredState::from_state(state, &current_moment())
+            let version = state.list_version;
+            log_line!(runtime, "state: restored {endpoint_count} endpoints of list version {version}");
+            RestoredState::from_state(state, &read_clocks())
         }
         Ok(Err(LoadError::NotFound)) => RestoredState::default(),
         Ok(Err(error)) => {
-            log_line!(runtime, "state: {file}: {error}; it starts without");
+            log_line!(runtime, "state: {file} is ignored: {error}");
             RestoredState::default()
         }
         Err(_) => {
-            log_line!(runtime, "state: {file} was not read within {READ_TIMEOUT:?}; it starts without");
+            log_line!(runtime, "state: {file} is ignored: it was not read within {READ_TIMEOUT:?}");
             RestoredState::default()
         }
     }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -25,29 +25,31 @@
 use crate::recovery_state::RecoveryStore;
 use crate::{admin_thread, peer_thread, process, recovery_state};
 
-/// The number of a descriptor that listens already; unset or empty where there is none.
+/// The environment variable with the number of an inherited listening descriptor. Unset or empty means none.
 const ACCEPT_FD_VARIABLE: &str = "PROXY_ACCEPT_FD";
 const TICKS_PER_MS: i64 = 10;
 
-/// Serve until SIGTERM, then finish the requests in flight. SIGHUP reads the configuration again.
+/// Serve until SIGTERM, then finish the requests in flight. SIGHUP reloads the configuration.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 pub struct ServeCommand {
     /// the configuration file; without it, $PROXY_CONFIG names it
     #[argh(option)]
     config: Option<PathBuf>,
-    /// how long after SIGTERM requests are still waited for, in milliseconds; less than until SIGKILL
+    /// how long to wait for requests in flight after SIGTERM, in milliseconds; must end before SIGKILL
     /// (default 3000)
     #[argh(option, default = "3000")]
     grace_ms: u64,
-    /// a TOML file that turns on the stored state and the exchange among balancers; without it there is
-    /// neither
+    /// a TOML file that enables the stored state and the exchange with other balancers; without it, both are
+    /// off
     #[argh(option)]
     fleet: Option<PathBuf>,
 }
 
+/// Runs a balancer until it is told to stop.
+///
 /// # Errors
-/// Where a file is invalid, a part can't start, or serving failed.
+/// Returns an error if a file is invalid, a component can't start, or serving fails.
 pub fn run(command: ServeCommand) -> Result<(), ServeError> {
     let config_path = config::resolve_path(command.config)?;
     let fleet = command.fleet.as_deref().map(read_fleet_file).transpose()?;
@@ -55,13 +57,14 @@
     serve(config_path, grace, fleet.unwrap_or_default())
 }
 
-/// The parts start one after the other on the one thread of the runtime, without an `.await` between them:
-/// the reload task first runs when serving has begun. Where a later part fails, threads already started run
-/// until the process exits.
+/// Starts the components in order and serves.
+///
+/// There is no `.await` between the starts, so on the single-threaded runtime the reload task first runs once
+/// serving has begun. If a component fails to start, threads already started run until the process exits.
 fn serve(config_path: PathBuf, grace: Ticks, fleet: FleetConfig) -> Result<(), ServeError> {
     let config = config::load(&config_path)?;
     process::run_on_runtime(async move |runtime| {
-        // First: until a handler is registered, these signals end the process.
+        // Registered first, because an unhandled signal ends the process.
         let reload_signals = process::signal_stream(SignalKind::hangup())?;
         let shutdown = process::shutdown_signal()?;
         let (discovery_sender, discovery_address) = watch::channel(config.discovery_address);
@@ -80,7 +83,7 @@
         let peer_thread = peer_thread::start(runtime, &config, &fleet, &components)?;
         let result =
             assembly::serve(runtime, components, config, discovery_address, inherited, grace, shutdown).await;
-        // No attempt starts after this point, so the peers may count this process out.
+        // No attempt starts after this point, so peers may stop counting this process.
         if let Some(peer_thread) = peer_thread {
             peer_thread.leave_and_join();
         }
@@ -88,7 +91,7 @@
     })
 }
 
-/// Restores what the last process stored, and starts the thread that stores the state of this one.
+/// Restores the state that the last process stored, and starts the thread that stores this process's state.
 fn start_recovery(
     runtime: SystemRuntime,
     config: &Config,
@@ -107,7 +110,8 @@
     Some(Arc::new(SharedPeerState::new(permits)))
 }
 
-/// Manual overrides are stored beside the recovery state, or else in the directory for temporary files.
+/// Starts the admin API. Manual overrides are stored in the state directory or, if none is configured, in the
+/// directory for temporary files.
 fn start_admin_api(
     runtime: &SystemRuntime,
     config: &Config,
@@ -131,8 +135,8 @@
     Arc::new(FleetOverrides::new(store, balancer))
 }
 
-/// Takes over the listening socket that the platform handed to this process, if any, and registers the
-/// process among those of its balancer.
+/// Takes over the listening socket that the platform passed to this process, if any, and registers this
+/// process with the other processes of its balancer.
 fn inherit_listener(config: &Config) -> Result<Option<InheritedListener<SystemRuntime>>, ServeError> {
     let Some(descriptor) = std::env::var_os(ACCEPT_FD_VARIABLE).filter(|value| !value.is_empty()) else {
         return Ok(None);
@@ -146,9 +150,10 @@
     Ok(Some(InheritedListener { listener, siblings: Arc::new(locks) }))
 }
 
-/// On SIGHUP, switches to the discovery address that the file now names, if it has changed. The fleet file is not read
-/// again. All else takes effect with the next
-/// start and is logged where it differs, since requests in flight were admitted under the old settings.
+/// On SIGHUP, switches to the discovery address in the configuration file if it has changed.
+///
+/// Requests in flight were admitted under the old settings, so every other change takes effect at the next
+/// start and is only logged. The fleet file is not reloaded.
 async fn reload_on_hangup(
     runtime: SystemRuntime,
     config_path: PathBuf,
@@ -158,12 +163,12 @@
 ) {
     while reload_signals.recv().await.is_some() {
         match config::load(&config_path) {
-            // Requests of one customer must not reach the endpoints of another.
+            // The file of another balancer could send one customer's requests to another's endpoints.
             Ok(reloaded) if reloaded.name != config.name => {
                 let (expected, found) = (&config.name, &reloaded.name);
                 log_line!(
                     runtime,
-                    "configuration kept as it was: the file is of {found:?}, and this is {expected:?}"
+                    "config: not reloaded: the file is for balancer {found:?}, but this is {expected:?}"
                 );
             }
             Ok(reloaded) => {
@@ -172,8 +177,8 @@
                     std::mem::replace(address, reloaded.discovery_address) != reloaded.discovery_address
                 });
             }
-            // The file may be half replaced; the old configuration has served so far.
-            Err(error) => log_line!(runtime, "configuration kept as it was: {error}"),
+            // The file may be only partly written; the old configuration stays in use.
+            Err(error) => log_line!(runtime, "config: not reloaded: {error}"),
         }
     }
 }
@@ -182,8 +187,8 @@
     let restart_only = config.restart_only_changes(reloaded);
     let restart_only = match restart_only.is_empty() {
         true => String::new(),
-        false => format!("; from the next start on, and not before: {}", restart_only.join(", ")),
+        false => format!("; changes that take effect at the next start: {}", restart_only.join(", ")),
     };
     let address = reloaded.discovery_address;
-    log_line!(runtime, "configuration read again: the list is at {address}{restart_only}");
+    log_line!(runtime, "config: reloaded: discovery is at {address}{restart_only}");
 }
--- a/crates/cli/src/state_command.rs
+++ b/crates/cli/src/state_command.rs
@@ -11,7 +11,7 @@
 
 use crate::error::FileError;
 use crate::exit::{Answer, CommandResult};
-use crate::recovery_state::current_moment;
+use crate::recovery_state::read_clocks;
 
 const STATE_FILE_EXTENSION: &str = "state";
 
@@ -179,6 +179,6 @@
 
 /// A wall clock of 0 means that the moment was never recorded.
 fn describe_age(then: &ClockReading) -> String {
-    let age = if then.wall_ms > 0 { Age::between(then, &current_moment()) } else { Age::Unknown };
+    let age = if then.wall_ms > 0 { Age::between(then, &read_clocks()) } else { Age::Unknown };
     age.to_string()
 }
--- a/crates/cli/tests/configuration.rs
+++ b/crates/cli/tests/configuration.rs
@@ -26,7 +26,7 @@
     trace.wait_for("A: POST /slow HTTP/1.1 id 1 body \"one\"");
     std::fs::write(&balancer.config, "{").unwrap();
     balancer.signal("HUP");
-    balancer.log.wait_for_prefix("configuration kept as it was: ", 1);
+    balancer.log.wait_for_prefix("config: not reloaded: ", 1);
     Client::new(&balancer).get("/", "2").record_answer(&trace);
     std::fs::write(&balancer.config, config(&known, elsewhere, 256).to_string()).unwrap();
     balancer.signal("HUP");
--- a/crates/cli/tests/races.rs
+++ b/crates/cli/tests/races.rs
@@ -311,7 +311,7 @@
     for signal in ["TERM", "INT", "HUP", "TERM"] {
         balancer.signal(signal);
     }
-    balancer.log.wait_for_prefix("configuration read again", 1);
+    balancer.log.wait_for_prefix("config: reloaded", 1);
     trace.record("go on");
     held.record_answer(&trace);
     trace.record(&format!("{:?}", balancer.process.wait().unwrap().code()));
@@ -409,7 +409,7 @@
     balancer.signal("HUP");
     balancer
         .log
-        .wait_for("configuration kept as it was: the file is of \"n0-of-another\", and this is \"n0\"");
+        .wait_for("config: not reloaded: the file is for balancer \"n0-of-another\", but this is \"n0\"");
     Client::new(&balancer).get("/", "1").record_answer(&trace);
     newer["name"] = json!("n0");
     newer["seed"] = json!("8");
@@ -417,7 +417,7 @@
     std::fs::write(&balancer.config, newer.to_string()).unwrap();
     balancer.signal("HUP");
     balancer.log.wait_for(&format!(
-        "configuration read again: the list is at {elsewhere}; from the next start on, and not before: seed, settings"
+        "config: reloaded: discovery is at {elsewhere}; changes that take effect at the next start: seed, settings"
     ));
     asked.wait_for_prefix("call 2: ", 1);
     Client::new(&balancer).get("/", "2").record_answer(&trace);
@@ -453,7 +453,7 @@
     let other = start_with_fleet(&config.to_string(), Some(&file));
     Client::new(&other).get("/", "3").record_answer(&trace);
     other.log.wait_until("what is not taken", |log| {
-        log.contains("it is not of these settings; it starts without")
+        log.contains("is ignored: it was written under other settings")
     });
     trace.assert_matches(expect![[r#"
         A: GET / HTTP/1.1 id 1 body ""
