--- a/crates/cli/src/admin_thread.rs
+++ b/crates/cli/src/admin_thread.rs
@@ -1,5 +1,4 @@
-//! The thread of the admin API. It has a runtime of its own, so that operators' calls never wait behind
-//! requests.
+//! The thread of the admin API. It has its own runtime, so that operators' calls never wait for requests.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,10 +17,11 @@
 const SEND_BUFFER_BYTES: u32 = 128 << 10;
 const BACKLOG: u32 = 64;
 
-/// Starts the thread, and waits until it listens. Without an address it only polls the fleet's overrides.
+/// Starts the thread and waits until it listens. Without an address, the thread only polls the overrides of
+/// the fleet.
 ///
 /// # Errors
-/// Where the thread can't be started, or the address can't be listened on.
+/// Returns an error if the thread can't be started or the address can't be bound.
 pub fn start(address: Option<SocketAddr>, admin_api: AdminApi<SystemRuntime>) -> Result<(), ServeError> {
     let (ready_sender, ready) = sync_channel(1);
     let thread = thread::Builder::new().name(THREAD_NAME.to_string());
@@ -46,7 +46,7 @@
     });
 }
 
-/// Without sockets the runtime needs no descriptor for polling.
+/// Builds the runtime. Without sockets, I/O is left disabled, which saves the descriptor for polling.
 fn build_runtime(needs_sockets: bool) -> io::Result<tokio::runtime::Runtime> {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     if needs_sockets {
@@ -65,7 +65,7 @@
     let runtime = admin_api.runtime;
     match runtime.listen(address, SEND_BUFFER_BYTES, BACKLOG) {
         Ok(listener) => {
-            log_line!(runtime, "serving operators on {}", listener.local_addr().unwrap_or(address));
+            log_line!(runtime, "admin: listening on {}", listener.local_addr().unwrap_or(address));
             let _ = ready.send(Ok(()));
             admin::serve(listener, admin_api).await;
         }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the program. The text of each contains that of its source.
+//! The errors of the program. The text of each error contains that of its source.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 
 use crate::peer_thread::PeerThreadError;
 
-/// Why a server could not start, or ended early.
+/// An error that prevents the start of a server or ends it early.
 #[derive(Debug, Error)]
 pub enum ServeError {
     #[error(transparent)]
@@ -21,7 +21,7 @@
     FleetFile(#[from] FleetFileError),
     #[error("the runtime could not start: {0}")]
     Runtime(#[source] io::Error),
-    #[error("signals can't be waited for: {0}")]
+    #[error("the signal handlers could not be registered: {0}")]
     Signals(#[source] io::Error),
     #[error("the state thread could not start: {0}")]
     StateThread(#[source] io::Error),
@@ -29,7 +29,7 @@
     AdminApi { address: Option<SocketAddr>, source: io::Error },
     #[error("{variable}: {source}")]
     InheritedSocket { variable: &'static str, source: InheritError },
-    #[error("{}: {source}", directory.display())]
+    #[error("{}: this process could not be registered: {source}", directory.display())]
     ProcessLocks { directory: PathBuf, source: io::Error },
     #[error(transparent)]
     Peers(#[from] PeerThreadError),
@@ -39,34 +39,34 @@
     Sidecar(#[from] SidecarError),
 }
 
-/// Why a command could not answer.
+/// An error that prevents a command from answering.
 #[derive(Debug, Error)]
 pub enum CommandError {
     #[error(transparent)]
     File(#[from] FileError),
-    #[error("{}: {source}", path.display())]
+    #[error("{}: the endpoint list is invalid: {source}", path.display())]
     EndpointList { path: PathBuf, source: serde_json::Error },
     #[error(transparent)]
     FleetFile(#[from] FleetFileError),
     #[error(transparent)]
     AdminCall(#[from] AdminCallError),
-    #[error("{address}: this process has no peers configured")]
+    #[error("{address}: the fleet file of this balancer has no [peers]")]
     NoPeers { address: SocketAddr },
-    #[error("{address}: this process has no leases: its fleet file has no [leases]")]
+    #[error("{address}: the fleet file of this balancer has no [leases]")]
     NoLeases { address: SocketAddr },
-    #[error("{address}: this process has no limits: its fleet file has no [limits]")]
+    #[error("{address}: the fleet file of this balancer has no [limits]")]
     NoLimits { address: SocketAddr },
-    #[error("{}: it has no [limits]", path.display())]
+    #[error("{}: the file has no [limits]", path.display())]
     FileWithoutLimits { path: PathBuf },
-    #[error("either --at ADDRESS, or bound FILE --balancers NUMBER, is expected")]
+    #[error("limits: expected either `--at ADDRESS` or `bound FILE --balancers NUMBER`")]
     LimitsUsage,
-    #[error("{} is not good; `doorproxy check` says why", path.display())]
+    #[error("{}: the file has errors; run `doorproxy check` to list them", path.display())]
     InvalidSidecarConfig { path: PathBuf },
-    #[error("a header such as 'K: V' expected, not {text:?}")]
+    #[error("--header: {text:?} is not a header field such as 'X-Key: 7'")]
     HeaderSyntax { text: String },
-    #[error("an ordinal under {balancers} expected, not {ordinal}")]
+    #[error("--ordinal: {ordinal} is not below {balancers}, the number of balancers")]
     OrdinalOutOfRange { balancers: u32, ordinal: u32 },
-    #[error("{} exists, and is not replaced", path.display())]
+    #[error("{}: the file exists and is not replaced", path.display())]
     OutputExists { path: PathBuf },
     #[error(transparent)]
     Json(#[from] serde_json::Error),
@@ -81,23 +81,23 @@
 }
 
 impl FileError {
-    /// For `map_err`: the error of an operation on this path.
+    /// Returns a function for `map_err` that adds the path to an I/O error.
     pub fn at(path: impl Into<PathBuf>) -> impl FnOnce(io::Error) -> FileError {
         let path = path.into();
         move |source| FileError { path, source }
     }
 }
 
-/// Why a fleet file can't be used.
+/// An error in reading or checking a fleet file.
 #[derive(Debug, Error)]
 pub enum FleetFileError {
     #[error(transparent)]
     Read(#[from] FileError),
-    #[error("{} is not good\n{findings}", path.display())]
+    #[error("{}: the file has errors:\n{findings}", path.display())]
     Invalid { path: PathBuf, findings: String },
 }
 
-/// Why the admin API of a running balancer gave no answer.
+/// A failed call to the admin API of a running balancer.
 #[derive(Debug, Error)]
 #[error("{address}: {kind}")]
 pub struct AdminCallError {
@@ -110,23 +110,23 @@
 pub enum AdminCallErrorKind {
     #[error(transparent)]
     Io(#[from] io::Error),
-    #[error("no answer")]
+    #[error("the balancer sent no complete response")]
     NoAnswer,
-    /// The balancer's own reason.
+    /// The balancer rejected the call for this reason.
     #[error("{0}")]
     Rejected(String),
     #[error(transparent)]
     Json(#[from] serde_json::Error),
 }
 
-/// Why a running sidecar can't take over a new configuration.
+/// An error that prevents a running sidecar from reloading its configuration.
 #[derive(Debug, Error)]
 pub enum ReloadError {
     #[error(transparent)]
     Read(#[from] FileError),
     #[error("{code}: {message}")]
     Invalid { code: &'static str, message: String },
-    /// Without a configuration, yet without an error among the findings.
-    #[error("")]
+    /// The check returned neither a configuration nor an error.
+    #[error("the file is invalid, but no error was found")]
     Empty,
 }
--- a/crates/cli/src/fault_reports.rs
+++ b/crates/cli/src/fault_reports.rs
@@ -191,8 +191,9 @@
     /// Resolves peers' reports by the results of own attempts. An endpoint that is no longer on probation is
     /// ejected on own evidence, healthy or removed.
     fn resolve_unconfirmed(&mut self, ejections: &Ejections) {
-        let is_on_probation =
-            |endpoint: &EndpointIncarnation| ejections.get(endpoint).is_some_and(|of| of.reported_by_peers);
+        let is_on_probation = |endpoint: &EndpointIncarnation| {
+            ejections.get(endpoint).is_some_and(|ejection| ejection.reported_by_peers)
+        };
         let resolved = self.unconfirmed.iter().filter(|endpoint| !is_on_probation(endpoint));
         let resolved: Vec<EndpointIncarnation> = resolved.cloned().collect();
         for endpoint in resolved {
--- a/crates/cli/src/limits_command.rs
+++ b/crates/cli/src/limits_command.rs
@@ -1,5 +1,5 @@
-//! The command that shows a balancer's part of the fleet-wide quotas, or computes how far a fleet can exceed
-//! them.
+//! The command that shows a balancer's allocations of the fleet-wide quotas, or computes how far a fleet can
+//! exceed the quotas.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,23 +9,23 @@
 use doorproxy_quotas::rules::{QuotaRules, RateLimit};
 use serde_json::Value;
 
-use crate::admin_client::{get_members_section, items};
+use crate::admin_client::{array_items, get_members_section};
 use crate::error::CommandError;
 use crate::exit::{Answer, CommandResult};
 use crate::fleet_file::read_fleet_file;
 use crate::quotas;
 
-/// A process that waits for a lease of another polls it so often during the lease.
+/// How many times a process polls a lease held by another during the lease's duration.
 const POLLS_PER_LEASE: f64 = 4.0;
 
-/// Ask a running balancer what it holds of the fleet's limits, or say what they bound.
+/// Show a running balancer's allocations of the fleet's quotas, or compute how far they can be exceeded.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "limits")]
 pub struct LimitsCommand {
-    /// its operators' address
+    /// the address of the balancer's admin API
     #[argh(option)]
     at: Option<SocketAddr>,
-    /// as JSON
+    /// print as JSON
     #[argh(switch)]
     json: bool,
     #[argh(subcommand)]
@@ -38,19 +38,19 @@
     Bound(BoundCommand),
 }
 
-/// Say how far over its limits a fleet can be, by its fleet file.
+/// Compute from the fleet file how far a fleet can exceed its quotas.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "bound")]
 struct BoundCommand {
     /// the fleet file
     #[argh(positional)]
     file: PathBuf,
-    /// how many balancers run
+    /// the number of balancers in the fleet
     #[argh(option)]
     balancers: u32,
 }
 
-/// Shows the quotas of a running balancer, or computes bounds from a fleet file.
+/// Shows the allocations of a running balancer, or computes bounds from a fleet file.
 pub fn run(command: &LimitsCommand) -> CommandResult {
     match (&command.action, command.at) {
         (Some(LimitsAction::Bound(command)), None) => show_bound(command),
@@ -77,7 +77,8 @@
 
 fn print_times(rules: &QuotaRules, lease_rules: &LeaseRules, balancers: u32) {
     println!(
-        "{balancers} balancers; an allotment lasts {} s, a balancer whose dealer has not answered for {} s is out of touch",
+        "{balancers} balancers; an allocation lasts {} s; a balancer is disconnected if its allocator \
+         has not answered for {} s",
         rules.allocation_lifetime().as_secs_f64(),
         rules.contact_timeout.as_secs_f64()
     );
@@ -85,7 +86,8 @@
     let lease_with_drift_s = lease_rules.duration_with_drift(lease_rules.max_duration).as_secs_f64();
     let contact_timeout_s = rules.contact_timeout.as_secs_f64();
     println!(
-        "a dealer that dies is followed within {:.1} s; where most keepers have started anew nothing is dealt for {:.1} s",
+        "a failed allocator is replaced within {:.1} s; after a restart of most replicas, \
+         nothing is allocated for {:.1} s",
         lease_with_drift_s + lease_s / POLLS_PER_LEASE + contact_timeout_s,
         lease_with_drift_s + contact_timeout_s
     );
@@ -93,13 +95,14 @@
 
 fn print_bounds(rules: &QuotaRules, limit: &RateLimit, balancers: u32) {
     let fallback =
-        limit.fallback_rate.map_or("strict".to_string(), |rate| format!("floor {rate:.2} a second"));
-    println!("{}: {} ops a second, {fallback}", limit.name, limit.rate);
+        limit.fallback_rate.map_or("strict".to_string(), |rate| format!("fallback rate {rate:.2}/s"));
+    println!("{}: {} requests/s, {fallback}", limit.name, limit.rate);
     let half = balancers.div_ceil(2);
     for (label, disconnected) in [("none", 0), ("1", 1), ("half", half), ("all", balancers)] {
         let bound = rules.overshoot_bound(limit, disconnected);
         println!(
-            "  {label:>4} out of touch: in t seconds no more than {} t + {:.1} + {:.2} t; in 1 s {:.0}, in 10 s {:.0}",
+            "  {label:>4} disconnected: at most {} t + {:.1} + {:.2} t requests in t seconds; {:.0} in 1 s, \
+             {:.0} in 10 s",
             limit.rate,
             bound.burst,
             bound.excess_rate,
@@ -109,19 +112,19 @@
     }
 }
 
-/// The answer is no where the allocator of a limit doesn't answer this balancer.
+/// Shows a balancer's quotas. The answer is no if the allocator of a limit doesn't answer the balancer.
 fn show(address: SocketAddr, as_json: bool) -> CommandResult {
     let quotas = get_members_section(address, "limits")?.ok_or(CommandError::NoLimits { address })?;
     if as_json {
         println!("{quotas}");
     } else {
-        items(&quotas, "limits").for_each(print_limit);
-        items(&quotas, "dealing").for_each(print_shard);
+        array_items(&quotas, "limits").for_each(print_limit);
+        array_items(&quotas, "dealing").for_each(print_shard);
         if quotas["keeper_votes"] == false {
-            println!("a keeper that has started lately and votes on no dealer yet");
+            println!("this registry replica started recently and does not vote on allocators yet");
         }
     }
-    Ok(Answer::yes_if(items(&quotas, "limits").all(is_connected)))
+    Ok(Answer::yes_if(array_items(&quotas, "limits").all(is_connected)))
 }
 
 fn is_connected(limit: &Value) -> bool {
@@ -129,12 +132,12 @@
 }
 
 fn print_limit(limit: &Value) {
-    let contact = if is_connected(limit) { "in touch" } else { "out of touch" };
+    let contact = if is_connected(limit) { "connected to its allocator" } else { "disconnected" };
     let age = limit["age_s"]
         .as_f64()
-        .map_or("never dealt any".to_string(), |age_s| format!("dealt {age_s:.1} s ago"));
+        .map_or("never allocated".to_string(), |age_s| format!("allocated {age_s:.1} s ago"));
     println!(
-        "{}: {} of {} a second allotted here, {} come, {} held, {age}, {contact}",
+        "{}: allocation {} of {} requests/s, demand {}/s, balance {}, {age}, {contact}",
         limit["name"].as_str().unwrap_or_default(),
         limit["allotted"],
         limit["rate"],
@@ -142,16 +145,16 @@
         limit["held"]
     );
     println!(
-        "  let in {}, {} of them on the floor; refused {}",
+        "  admitted {}, {} of them at the fallback rate; rejected {}",
         limit["let_in"], limit["by_floor"], limit["refused"]
     );
 }
 
 fn print_shard(shard: &Value) {
-    println!("deals shard {} under token {}", shard["shard"], shard["token"]);
-    for limit in items(shard, "limits") {
+    println!("allocates shard {} under token {}", shard["shard"], shard["token"]);
+    for limit in array_items(shard, "limits") {
         println!(
-            "  {}: {} saved, asked for by {}",
+            "  {}: balance {}, requested by {} balancers",
             limit["name"].as_str().unwrap_or_default(),
             limit["saved"],
             limit["asked_by"]
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,5 +1,5 @@
-//! Command line of doorproxy: parses the arguments, and runs a server or a command. [`exit`] maps results to
-//! exit codes.
+//! The command line of doorproxy: parses the arguments and runs a server or a command. [`exit`] maps results
+//! to exit codes.
 
 mod admin_client;
 mod admin_thread;
@@ -32,7 +32,7 @@
 
 use crate::error::ServeError;
 
-/// A sidecar's configuration is TOML, a balancer's JSON.
+/// The extension that identifies a sidecar's configuration. A balancer's configuration is JSON.
 const SIDECAR_FILE_EXTENSION: &str = "toml";
 
 /// A load balancer for fleets of HTTP servers.
@@ -63,24 +63,24 @@
     Version(VersionCommand),
 }
 
-/// Read a configuration file and say what is wrong with it, or what it holds. A sidecar's file ends in .toml.
+/// Check a configuration file, and print its errors or a summary. The file of a sidecar ends in .toml.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct CheckCommand {
-    /// the file
+    /// the configuration file
     #[argh(positional)]
     file: Option<PathBuf>,
-    /// the configuration file of a balancer; without any, $PROXY_CONFIG names it
+    /// the configuration file of a balancer; if no file is given, $PROXY_CONFIG names it
     #[argh(option)]
     config: Option<PathBuf>,
-    /// for a sidecar's file: the list of endpoints, as discovery sends it, that servers and hosts have to be
-    /// in
+    /// for a sidecar's file: an endpoint list in the format of discovery, which must contain all servers and
+    /// hosts
     #[argh(option)]
     roster: Option<PathBuf>,
-    /// for a sidecar's file: a newer one; what it changes is said
+    /// for a sidecar's file: a newer file to compare with; prints the changes
     #[argh(option)]
     against: Option<PathBuf>,
-    /// for a sidecar's file: say the findings as JSON
+    /// for a sidecar's file: print the findings as JSON
     #[argh(switch)]
     json: bool,
 }
@@ -95,40 +95,40 @@
     let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
     match Arguments::from_args(&arguments[..1], &arguments[1..]) {
         Ok(Arguments { command }) => run(command),
-        Err(early_exit) => exit::of_arguments(&early_exit),
+        Err(early_exit) => exit::code_for_arguments(&early_exit),
     }
 }
 
 fn run(command: Command) -> ExitCode {
     match command {
-        Command::Serve(command) => exit::of_server(serve::run(command)),
+        Command::Serve(command) => exit::code_for_server(serve::run(command)),
         Command::Sidecar(command) => sidecar::run(command),
         Command::Check(command) => check(command),
-        Command::Version(VersionCommand {}) => exit::of_server(print_version()),
-        Command::Explain(command) => exit::of_command(sidecar_config::explain(&command)),
-        Command::Configure(command) => exit::of_command(sidecar_config::configure(&command)),
-        Command::Migrate(command) => exit::of_command(migrate::migrate(&command)),
-        Command::State(command) => exit::of_command(state_command::run(&command)),
-        Command::Recovery(command) => exit::of_command(recovery_command::run(&command)),
-        Command::Members(command) => exit::of_command(members_command::run(&command)),
-        Command::Leases(command) => exit::of_command(permit_command::show_leases(&command)),
-        Command::Permit(command) => exit::of_command(permit_command::run(&command)),
-        Command::Limits(command) => exit::of_command(limits_command::run(&command)),
-        Command::Detach(command) => exit::of_command(overrides::detach(&command)),
-        Command::Attach(command) => exit::of_command(overrides::attach(&command)),
-        Command::Verdicts(command) => exit::of_command(overrides::show(&command)),
+        Command::Version(VersionCommand {}) => exit::code_for_server(print_version()),
+        Command::Explain(command) => exit::code_for_command(sidecar_config::explain(&command)),
+        Command::Configure(command) => exit::code_for_command(sidecar_config::configure(&command)),
+        Command::Migrate(command) => exit::code_for_command(migrate::migrate(&command)),
+        Command::State(command) => exit::code_for_command(state_command::run(&command)),
+        Command::Recovery(command) => exit::code_for_command(recovery_command::run(&command)),
+        Command::Members(command) => exit::code_for_command(members_command::run(&command)),
+        Command::Leases(command) => exit::code_for_command(permit_command::show_leases(&command)),
+        Command::Permit(command) => exit::code_for_command(permit_command::run(&command)),
+        Command::Limits(command) => exit::code_for_command(limits_command::run(&command)),
+        Command::Detach(command) => exit::code_for_command(overrides::detach(&command)),
+        Command::Attach(command) => exit::code_for_command(overrides::attach(&command)),
+        Command::Verdicts(command) => exit::code_for_command(overrides::show(&command)),
     }
 }
 
 fn check(command: CheckCommand) -> ExitCode {
     match &command.file {
-        Some(file) if is_sidecar_file(file) => exit::of_command(sidecar_config::check_file(
+        Some(file) if is_sidecar_file(file) => exit::code_for_command(sidecar_config::check_file(
             file,
             command.roster.as_deref(),
             command.against.as_deref(),
             command.json,
         )),
-        _ => exit::of_server(check_balancer_config(command.config.or(command.file))),
+        _ => exit::code_for_server(check_balancer_config(command.config.or(command.file))),
     }
 }
 
--- a/crates/cli/src/members_command.rs
+++ b/crates/cli/src/members_command.rs
@@ -5,73 +5,73 @@
 use argh::FromArgs;
 use serde_json::Value;
 
-use crate::admin_client::{get_members, items, text};
+use crate::admin_client::{array_items, display_text, get_members};
 use crate::exit::{Answer, CommandResult};
 
-/// Ask a running balancer which peers it knows, and how many balancers share the fleet's budgets.
+/// Show which peers a running balancer knows, and how many balancers share the fleet's budgets.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "members")]
 pub struct MembersCommand {
-    /// its operators' address
+    /// the address of the balancer's admin API
     #[argh(option)]
     at: SocketAddr,
-    /// as JSON
+    /// print as JSON
     #[argh(switch)]
     json: bool,
 }
 
-/// The answer is no where the number of balancers is the conservative bound instead of a majority's count.
+/// Shows the members. The answer is no if the number of balancers is the conservative fallback, because no
+/// majority of replicas has counted this balancer.
 pub fn run(command: &MembersCommand) -> CommandResult {
     let members = get_members(command.at)?;
     let is_counted = members["counted"] == true;
     if command.json {
         println!("{members}");
     } else {
-        print_share(&members, is_counted);
-        items(&members, "keepers").for_each(print_replica);
-        items(&members, "members").for_each(print_member);
+        print_fleet_size(&members, is_counted);
+        array_items(&members, "keepers").for_each(print_replica);
+        array_items(&members, "members").for_each(print_member);
     }
     Ok(Answer::yes_if(is_counted))
 }
 
-fn print_share(members: &Value, is_counted: bool) {
+fn print_fleet_size(members: &Value, is_counted: bool) {
     if is_counted {
         println!(
-            "{} share what all may do, counted by most keepers; that holds for {} s",
+            "{} balancers share the fleet's budgets: counted by a majority of replicas, valid for {} s",
             members["among"], members["for_s"]
         );
     } else {
         println!(
-            "{} share what all may do: the bound in doubt, since most keepers have not counted this one",
+            "{} balancers share the fleet's budgets: assumed, without a majority of replicas",
             members["among"]
         );
     }
     println!(
-        "  {} believed alive; part of a cold server: {}; own health {} of 0 to 8",
+        "  {} members alive; slow-start ratio {}; local health multiplier {} (0 to 8)",
         members["least"], members["cold_part"], members["health"]
     );
 }
 
 fn print_replica(replica: &Value) {
-    let age = |value: &Value, what: &str| {
-        value.as_f64().map_or(format!("{what} never"), |seconds| format!("{what} {seconds} s ago"))
-    };
+    let age =
+        |value: &Value| value.as_f64().map_or("never".to_string(), |seconds| format!("{seconds} s ago"));
     println!(
-        "  keeper {}: {}, {}",
-        text(&replica["name"]),
-        age(&replica["heard_s"], "heard it"),
-        age(&replica["roll_s"], "roll of")
+        "  replica {}: last acknowledgement {}, last snapshot {}",
+        display_text(&replica["name"]),
+        age(&replica["heard_s"]),
+        age(&replica["roll_s"])
     );
 }
 
 fn print_member(member: &Value) {
-    let zone = text(&member["zone"]);
+    let zone = display_text(&member["zone"]);
     let zone = if zone.is_empty() { String::new() } else { format!(", zone {zone}") };
     println!(
         "  {} at {}{zone}: {} for {} s",
-        text(&member["name"]),
-        text(&member["at"]),
-        text(&member["belief"]),
+        display_text(&member["name"]),
+        display_text(&member["at"]),
+        display_text(&member["belief"]),
         member["for_s"]
     );
 }
--- a/crates/cli/src/migrate.rs
+++ b/crates/cli/src/migrate.rs
@@ -1,6 +1,6 @@
-//! Converts a balancer's configuration for a deployment in which each client process has a balancer of its
-//! own and upstreams answer load probes. What only the operator knows has to be given; no file is replaced or
-//! written in part.
+//! Converts a balancer's configuration for a deployment in which each client process has its own balancer
+//! and endpoints answer load probes. Values that only the operator knows are required as arguments. No file
+//! is replaced or partly written.
 
 use std::collections::BTreeSet;
 use std::io::{self, Write};
@@ -15,44 +15,44 @@
 use crate::exit::{Answer, CommandResult};
 use crate::files::read_text;
 
-/// Write the counterpart of a balancer's configuration for a balancer in each client process, and say what
-/// became of each field.
+/// Convert a balancer's configuration for one balancer in each client process, and print what happens to each
+/// field.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "migrate")]
 pub struct MigrateCommand {
-    /// the configuration as it is; it is never written to
+    /// the old configuration file, which is not changed
     #[argh(positional)]
     old: PathBuf,
-    /// how many balancers there will be in all, those of the old deployment that serve on included
+    /// the total number of balancers, including those of the old deployment that keep serving
     #[argh(option)]
     balancers: u32,
-    /// the place of this one among them, from 0
+    /// the position of this balancer among them, from 0
     #[argh(option)]
     ordinal: u32,
-    /// where to write the new one; nothing may be there yet
+    /// the new configuration file, which must not exist yet
     #[argh(option)]
     out: PathBuf,
-    /// where this process is to listen
+    /// the address that this process listens on
     #[argh(option)]
     listen: Option<SocketAddr>,
-    /// the seed of its random decisions, hexadecimal and different at each
+    /// the seed of random decisions, hexadecimal and different for each balancer
     #[argh(option)]
     seed: Option<String>,
-    /// its zone, by name
+    /// the name of this process's zone
     #[argh(option)]
     zone: Option<String>,
-    /// the values of a load report in their order, behind commas, such as active,waiting
+    /// the fields of a load report in order, separated by commas, such as active,waiting
     #[argh(option)]
     report: Option<String>,
-    /// no request may be hedged
+    /// disable hedged requests
     #[argh(switch)]
     no_second_copies: bool,
-    /// only say what would be done
+    /// print the changes without writing the file
     #[argh(switch)]
     dry_run: bool,
 }
 
-/// Fields that are copied, by path; * stands for an index of a list.
+/// The paths of the fields that are copied. `*` stands for any index of a list.
 const CARRIED_PATHS: [&str; 40] = [
     "name",
     "discovery",
@@ -96,29 +96,32 @@
     "settings.obligations.fall",
 ];
 
-/// Fields that the command's arguments replace, each with the reason.
+/// The paths of the fields that the command replaces, each with the reason.
 const REPLACED_PATHS: [(&str, &str); 9] = [
-    ("listen", "each process listens for itself"),
-    ("seed", "each process has a chance of its own"),
-    ("settings.n_instances", "all balancers count, also those of the old shape for as long as they serve"),
-    ("settings.ordinal", "its place among all of them"),
-    ("settings.az", "the zone of its process"),
-    ("settings.report.source", "upstreams tell their load to probes"),
-    ("settings.report.fields", "what upstreams tell"),
-    ("settings.limits.probes", "loads are asked for by probes"),
-    ("settings.limits.second_copies", "no second copies, as the call says"),
+    ("listen", "each process has its own address"),
+    ("seed", "each process has its own random seed"),
+    (
+        "settings.n_instances",
+        "the number of all balancers, including those of the old deployment while they serve",
+    ),
+    ("settings.ordinal", "the position of this balancer among all"),
+    ("settings.az", "the zone of this process"),
+    ("settings.report.source", "endpoints report their load to probes"),
+    ("settings.report.fields", "the fields of a load report"),
+    ("settings.limits.probes", "probes request the load"),
+    ("settings.limits.second_copies", "--no-second-copies disables hedged requests"),
 ];
 
-/// Fields without a counterpart, each with the reason.
+/// The paths of the fields that have no counterpart, each with the reason.
 const OMITTED_PATHS: [(&str, &str); 2] = [
     (
         "settings.projects",
-        "each balancer counts an even part of a tenant's share, and processes do not carry alike",
+        "each balancer enforces an even part of a tenant's share, but processes have unequal load",
     ),
-    ("settings.overage_benefit", "goes with the tenants' shares"),
+    ("settings.overage_benefit", "omitted together with the tenants' shares"),
 ];
 
-/// What became of the fields, by path.
+/// The paths of the fields by outcome.
 #[derive(Default)]
 struct FieldOutcomes {
     carried: BTreeSet<String>,
@@ -127,13 +130,13 @@
 }
 
 impl FieldOutcomes {
-    /// What the new file takes over of a value, if anything.
+    /// Returns the part of a value that the new file keeps, if any, and records the outcome of its fields.
     fn carry_over(&mut self, value: &Value, path: &str) -> Option<Value> {
         if OMITTED_PATHS.iter().any(|(omitted, _)| *omitted == path) {
             self.omitted.insert(path.to_string());
             return None;
         }
-        // A field that an argument may replace, but need not, is in both lists.
+        // A field that an optional argument replaces is in both lists.
         let is_carried = CARRIED_PATHS.contains(&path);
         if !is_carried && REPLACED_PATHS.iter().any(|(replaced, _)| *replaced == path) {
             return None;
@@ -192,11 +195,11 @@
     *field = value;
 }
 
-/// What the command's arguments put into the new file.
+/// The values that replace fields in the new file.
 struct Replacements {
-    /// By the path of the field.
+    /// The values by path.
     values: Vec<(&'static str, Value)>,
-    /// Options without which the new file would not be complete.
+    /// The options that are missing or invalid, and without which the new file is incomplete.
     missing_options: Vec<&'static str>,
 }
 
@@ -233,12 +236,13 @@
     }
 }
 
-/// The answer is no where a file would be invalid, or something that matters was not carried over.
+/// Converts a configuration. The answer is no if a file is invalid, an option is missing, or a field has no
+/// counterpart.
 pub fn migrate(command: &MigrateCommand) -> CommandResult {
     check_arguments(command)?;
     let text = read_text(&command.old)?;
     if let Err(error) = config::parse(&text) {
-        println!("bad: {}: {error}", command.old.display());
+        println!("invalid: {}: {error}", command.old.display());
         return Ok(Answer::No);
     }
     let old: Value = serde_json::from_str(&text)?;
@@ -285,22 +289,22 @@
     reasons.iter().find(|(known, _)| *known == path).map_or("", |(_, reason)| reason)
 }
 
-/// Prints why not, if not.
+/// Checks the new file, and prints the error if it is invalid.
 fn is_valid(text: &str) -> bool {
     match config::parse(text) {
         Err(error) => {
-            println!("bad: the new file would be: {error}");
+            println!("invalid: the new file: {error}");
             false
         }
         Ok(config) if config.settings.load_report_field.is_none() => {
-            println!("bad: the report has no \"active\", so loads stay unknown");
+            println!("invalid: --report has no \"active\", so the load of endpoints would be unknown");
             false
         }
         Ok(_) => true,
     }
 }
 
-/// Writes the whole file or nothing, and never replaces another, even one created meanwhile.
+/// Writes the whole file or nothing. Never replaces a file, even one that is created at the same time.
 fn write_atomically(out: &Path, text: &str) -> io::Result<()> {
     let mut temporary = out.as_os_str().to_owned();
     temporary.push(format!(".{}", std::process::id()));
--- a/crates/cli/src/overrides.rs
+++ b/crates/cli/src/overrides.rs
@@ -1,55 +1,54 @@
-//! Commands that detach and attach endpoints by hand, at one balancer or in the whole fleet, and show the
-//! overrides in force. Nothing is reported as done before the balancer has confirmed it.
+//! The commands that detach and attach endpoints by hand, at one balancer or in the whole fleet, and show the
+//! current overrides. A change is reported only after the balancer has confirmed it.
 
 use std::net::SocketAddr;
 
 use argh::FromArgs;
 use serde_json::Value;
 
-use crate::admin_client::{get_members_section, items, post_json, post_text, text};
+use crate::admin_client::{array_items, display_text, get_members_section, post_json, post_text};
 use crate::error::{AdminCallError, CommandError};
 use crate::exit::{Answer, CommandResult};
 
-/// Detach an upstream by hand at a running balancer, or in the whole fleet.
+/// Detach an endpoint by hand at a running balancer, or in the whole fleet.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "detach")]
 pub struct DetachCommand {
-    /// the upstream, by its id in the list
+    /// the endpoint, by its id in the endpoint list
     #[argh(positional)]
     name: String,
-    /// the operators' address of any balancer
+    /// the address of the admin API of any balancer
     #[argh(option)]
     at: SocketAddr,
-    /// for the whole fleet: every balancer applies it as soon as it receives it, until the upstream is
+    /// detach it in the whole fleet: every balancer applies the override on receipt, until the endpoint is
     /// attached
     #[argh(switch)]
     fleet: bool,
 }
 
-/// Attach an upstream again that was detached by hand.
+/// Attach an endpoint again that was detached by hand.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "attach")]
 pub struct AttachCommand {
-    /// the upstream, by its id in the list
+    /// the endpoint, by its id in the endpoint list
     #[argh(positional)]
     name: String,
-    /// the operators' address of any balancer
+    /// the address of the admin API of any balancer
     #[argh(option)]
     at: SocketAddr,
-    /// where it was detached for the whole fleet
+    /// attach it in the whole fleet, if it was detached there
     #[argh(switch)]
     fleet: bool,
 }
 
-/// Ask a running balancer which upstreams operators have detached in the whole fleet, and which are reported
-/// faulty.
+/// Show the fleet overrides that a running balancer knows, and the endpoints that are reported faulty.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "verdicts")]
 pub struct VerdictsCommand {
-    /// its operators' address
+    /// the address of the balancer's admin API
     #[argh(option)]
     at: SocketAddr,
-    /// as JSON
+    /// print as JSON
     #[argh(switch)]
     json: bool,
 }
@@ -61,7 +60,7 @@
 }
 
 impl Override {
-    /// As the paths of the admin API name it.
+    /// Returns the name of the override in the paths of the admin API.
     fn action(self) -> &'static str {
         match self {
             Override::Detach => "detach",
@@ -69,11 +68,11 @@
         }
     }
 
-    /// What an endpoint is after it, as printed.
+    /// Returns the resulting state of the endpoint, as printed.
     fn outcome(self) -> &'static str {
         match self {
-            Override::Detach => "out",
-            Override::Attach => "back",
+            Override::Detach => "detached",
+            Override::Attach => "attached",
         }
     }
 }
@@ -106,14 +105,16 @@
 fn apply_in_fleet(change: Override, address: SocketAddr, name: &str) -> Result<(), AdminCallError> {
     let answer = post_json(address, &format!("/_fleet/{}", change.action()), name)?;
     println!(
-        "{name} is {} at {address}, version {}; the others hear of it within a few periods: doorproxy verdicts --at {address}",
+        "{name} is {} at {address}, version {}; the others receive this within a few protocol periods: \
+         see `doorproxy verdicts --at {address}`",
         change.outcome(),
         answer["version"]
     );
     Ok(())
 }
 
-/// The answer is no where not all peers were seen with the same overrides lately.
+/// Shows the fleet's overrides and the fault reports. The answer is no if a peer was not recently seen with
+/// the same overrides.
 pub fn show(command: &VerdictsCommand) -> CommandResult {
     let overrides =
         get_members_section(command.at, "verdicts")?.ok_or(CommandError::NoPeers { address: command.at })?;
@@ -127,31 +128,31 @@
 }
 
 fn print_overrides(overrides: &Value) {
-    println!("{} of {} others have the same words", overrides["agreeing"], overrides["others"]);
-    for entry in items(overrides, "words") {
+    println!("{} of {} peers have the same overrides", overrides["agreeing"], overrides["others"]);
+    for entry in array_items(overrides, "words") {
         let change = if entry["out"] == true { Override::Detach } else { Override::Attach };
         println!(
-            "  {} is {}, version {}, said at {}, heard {} s ago",
-            text(&entry["name"]),
+            "  {} is {}, version {}, set at {}, received {} s ago",
+            display_text(&entry["name"]),
             change.outcome(),
             entry["version"],
-            text(&entry["by"]),
+            display_text(&entry["by"]),
             entry["heard_s"]
         );
     }
 }
 
-/// Prints nothing where the fleet file configures no reports.
+/// Prints the fault reports, or nothing if the fleet file doesn't configure them.
 fn print_fault_reports(reports: &Value) {
     if !reports.is_null() {
         println!(
-            "claims: {} upstreams tried with care, {} of them ill, {} well",
+            "fault reports: {} endpoints put on probation, {} confirmed faulty, {} not confirmed",
             reports["tried"], reports["right"], reports["wrong"]
         );
     }
-    for report in items(reports, "heard") {
+    for report in array_items(reports, "heard") {
         println!(
-            "  {} is ill by {}, evidence {:.1} s old, trust {}",
+            "  {} is reported faulty by {}, evidence {:.1} s old, trust {}",
             report["name"].as_str().unwrap_or_default(),
             report["by"].as_str().unwrap_or_default(),
             report["age_s"].as_f64().unwrap_or(0.0),
--- a/crates/cli/src/peer_thread/control_loop.rs
+++ b/crates/cli/src/peer_thread/control_loop.rs
@@ -183,7 +183,7 @@
         let source = if is_counted {
             "counted by a majority of replicas"
         } else {
-            "the fallback until a majority of replicas counts them"
+            "assumed without a majority of replicas"
         };
         log_line!(self.runtime, "members: {balancer_count} balancers share the fleet's budgets, {source}");
     }
--- a/crates/cli/src/peer_thread/socket.rs
+++ b/crates/cli/src/peer_thread/socket.rs
@@ -40,8 +40,8 @@
         Ok(PeerSocket { socket, codec: codec.clone() })
     }
 
-    /// Waits until the predecessor of this process frees the address; until then, it represents both processes to
-    /// peers. Returns `None` if a stop is requested first.
+    /// Waits until the predecessor of this process frees the address. Until then, peers know only the
+    /// predecessor, which stands for both. Returns `None` if a stop is requested first.
     pub fn wait_for_address(
         runtime: SystemRuntime,
         address: SocketAddr,
--- a/crates/cli/src/process.rs
+++ b/crates/cli/src/process.rs
@@ -25,10 +25,10 @@
 /// Makes a panic on any thread end the process, since going on with partly applied decisions does more harm
 /// than a restart. The log thread is exempt: a log that can't be written must not stop the service.
 fn exit_on_panic() {
-    let print = std::panic::take_hook();
+    let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
         if std::thread::current().name() != Some(log::THREAD_NAME) {
-            print(panic);
+            default_hook(panic);
             std::process::exit(exit::PANICKED);
         }
     }));
--- a/crates/cli/src/quotas.rs
+++ b/crates/cli/src/quotas.rs
@@ -102,11 +102,11 @@
 #[derive(Clone, Copy)]
 struct LoggedRejections {
     count: u64,
-    at: Timestamp,
+    logged_at: Timestamp,
 }
 
 impl LoggedRejections {
-    const NONE: LoggedRejections = LoggedRejections { count: 0, at: Timestamp(i64::MIN) };
+    const NONE: LoggedRejections = LoggedRejections { count: 0, logged_at: Timestamp(i64::MIN) };
 }
 
 /// The quota client of this balancer and, on a registry replica, the allocator.
@@ -164,10 +164,10 @@
         for status in self.limit_statuses(now) {
             let logged = self.logged_rejections.get(&status.limit);
             let logged = logged.copied().unwrap_or(LoggedRejections::NONE);
-            if status.rejected == logged.count || now - logged.at < REJECTION_LOG_INTERVAL {
+            if status.rejected == logged.count || now - logged.logged_at < REJECTION_LOG_INTERVAL {
                 continue;
             }
-            let rejections = LoggedRejections { count: status.rejected, at: now };
+            let rejections = LoggedRejections { count: status.rejected, logged_at: now };
             self.logged_rejections.insert(status.limit, rejections);
             self.log_limit(&status, status.rejected - logged.count);
         }
--- a/crates/cli/src/recovery_command.rs
+++ b/crates/cli/src/recovery_command.rs
@@ -5,26 +5,26 @@
 use argh::FromArgs;
 use serde_json::Value;
 
-use crate::admin_client::{get_json, items, text};
+use crate::admin_client::{array_items, display_text, get_json};
 use crate::exit::{Answer, CommandResult};
 
 const RECOVERY_PATH: &str = "/_recovery";
-/// The last stage, at which nothing of the start is left.
+/// The last startup stage, at which recovery is complete.
 const LAST_STAGE: &str = "full";
 
-/// Ask a running balancer how far it has recovered after its start.
+/// Show how far a running balancer has recovered after its start.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "recovery")]
 pub struct RecoveryCommand {
-    /// its operators' address
+    /// the address of the balancer's admin API
     #[argh(option)]
     at: SocketAddr,
-    /// as JSON
+    /// print as JSON
     #[argh(switch)]
     json: bool,
 }
 
-/// The answer is no where the process is not at its last stage.
+/// Shows the recovery status. The answer is no if the process has not reached the last stage.
 pub fn run(command: &RecoveryCommand) -> CommandResult {
     let recovery = get_json(command.at, RECOVERY_PATH)?;
     if command.json {
@@ -37,24 +37,24 @@
 
 fn print_recovery(recovery: &Value) {
     let (list, evidence) = (&recovery["list"], &recovery["evidence"]);
-    println!("{} after {} s", text(&recovery["stage"]), recovery["running_s"]);
+    println!("stage {}, {} s after the start", display_text(&recovery["stage"]), recovery["running_s"]);
     println!(
-        "  list: {} servers, from {}, {} calls failed since it last told",
+        "  endpoint list: {} endpoints, from {}, {} failed calls since the last answer",
         list["servers"],
-        text(&list["from"]),
+        display_text(&list["from"]),
         list["failed_calls"]
     );
     println!(
-        "  {} of {} servers have answered, {} answers",
+        "  evidence: {} of {} ready endpoints have answered, {} answers in all",
         evidence["answered"], evidence["ready"], evidence["answers"]
     );
-    for change in items(recovery, "changes") {
+    for change in array_items(recovery, "changes") {
         println!(
             "  {} s: {} to {}: {}",
             change["after_s"],
-            text(&change["from"]),
-            text(&change["to"]),
-            text(&change["cause"])
+            display_text(&change["from"]),
+            display_text(&change["to"]),
+            display_text(&change["cause"])
         );
     }
 }
--- a/crates/cli/src/recovery_state.rs
+++ b/crates/cli/src/recovery_state.rs
@@ -74,18 +74,19 @@
     let mut directory = StateDirectory::new(LocalDisk, directory);
     let file = directory.state_path(owner.balancer);
     let balancer = owner.balancer.to_string();
-    let write = move || {
+    let run_writer = move || {
         // The send fails if the start has timed out waiting for the state.
         let _ = load_sender.send(directory.load(&balancer));
         write_states(runtime, &mut directory, &states);
     };
     let thread = std::thread::Builder::new().name(THREAD_NAME.to_string());
-    thread.spawn(write).map_err(ServeError::StateThread)?;
+    thread.spawn(run_writer).map_err(ServeError::StateThread)?;
     let restored = restore_state(runtime, &file, owner.settings_hash, &loaded);
     Ok(RecoveryStore { store: Arc::new(StateWriter { write_queue }), restored })
 }
 
-/// Writes states until the process ends. Logs only changes of the outcome: a new error, or a success after one.
+/// Writes states until the process ends. Logs only changes of the outcome: a new error, or the first success
+/// after one.
 fn write_states(
     runtime: SystemRuntime,
     directory: &mut StateDirectory<LocalDisk>,
--- a/crates/cli/src/sidecar.rs
+++ b/crates/cli/src/sidecar.rs
@@ -22,17 +22,18 @@
     /// the configuration file
     #[argh(option)]
     config: PathBuf,
-    /// the seed of random decisions, for runs that are to be alike (default: from the clock)
+    /// the seed of random decisions, for reproducible runs (default: from the clock)
     #[argh(option)]
     seed: Option<u64>,
 }
 
-/// A file that can't be read or has errors ends it like a command, a failure of serving like a server.
+/// Runs a sidecar. An unreadable or invalid file leads to the exit code of a command, a failure to serve to
+/// that of a server.
 pub fn run(command: SidecarCommand) -> ExitCode {
     match sidecar_config::load(&command.config) {
-        Ok(Some(config)) => exit::of_server(serve(command.config, config, command.seed)),
-        Ok(None) => exit::of_command(Ok(Answer::No)),
-        Err(error) => exit::of_command(Err(error.into())),
+        Ok(Some(config)) => exit::code_for_server(serve(command.config, config, command.seed)),
+        Ok(None) => exit::code_for_command(Ok(Answer::No)),
+        Err(error) => exit::code_for_command(Err(error.into())),
     }
 }
 
@@ -57,8 +58,8 @@
     while reload_signals.recv().await.is_some() {
         match sidecar_config::load_or_first_error(&config_path) {
             Ok(config) => drop(reloaded.send(config).await),
-            // The file may be half replaced; the old configuration has served so far.
-            Err(error) => log_line!(runtime, "configuration not reloaded: {error}"),
+            // The file may be only partly written; the old configuration stays in use.
+            Err(error) => log_line!(runtime, "config: not reloaded: {error}"),
         }
     }
 }
--- a/crates/cli/src/sidecar_config.rs
+++ b/crates/cli/src/sidecar_config.rs
@@ -1,5 +1,4 @@
-//! Checks, explains and generates configurations of sidecars. What is valid is decided by `doorproxy_config`
-//! alone.
+//! Checks, explains and generates configurations of sidecars. `doorproxy_config` alone decides what is valid.
 
 use std::path::{Path, PathBuf};
 
@@ -16,7 +15,7 @@
 use crate::exit::{Answer, CommandResult};
 use crate::files::read_text;
 
-/// Say which route matches a request, what it makes of it, and why no other route does.
+/// Show which route matches a request, how it handles the request, and why no other route matches.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain")]
 pub struct ExplainCommand {
@@ -26,7 +25,7 @@
     /// the method (default GET)
     #[argh(option, default = "\"GET\".to_string()")]
     method: String,
-    /// the URL, whole or from its path on
+    /// the URL, absolute or starting with the path
     #[argh(option)]
     url: String,
     /// a header field such as 'X-Key: 7'; may be given several times
@@ -34,14 +33,14 @@
     header: Vec<String>,
 }
 
-/// Write a configuration for one application and the servers of a list, such that check accepts it.
+/// Generate a valid configuration for one application and the servers of an endpoint list.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "configure")]
 pub struct ConfigureCommand {
-    /// what the application asks for
+    /// the file with the application's requirements
     #[argh(option)]
     app: PathBuf,
-    /// the servers, in the form of the list
+    /// the endpoint list, in the format of discovery
     #[argh(option)]
     roster: PathBuf,
     /// where to write it (default: standard output)
@@ -50,23 +49,23 @@
 }
 
 struct HeaderField<'a> {
-    /// In lower case.
+    /// The name in lower case.
     name: String,
     value: &'a str,
 }
 
-/// What a sidecar is to serve by; none where the file has errors, which have been printed then.
+/// Loads the configuration of a sidecar and prints the findings. Returns `None` if the file has errors.
 ///
 /// # Errors
-/// Where the file can't be read.
+/// Returns an error if the file can't be read.
 pub fn load(path: &Path) -> Result<Option<SidecarConfig>, FileError> {
     Ok(check_and_print(path, None, false)?.config)
 }
 
-/// Loads a configuration for a running sidecar, whose log has room for one line.
+/// Loads a configuration for a running sidecar, which logs only one line.
 ///
 /// # Errors
-/// Where the file can't be read, or the first error in it.
+/// Returns an error if the file can't be read, or the first error in the file.
 pub fn load_or_first_error(path: &Path) -> Result<SidecarConfig, ReloadError> {
     let checked = check(&read_text(path)?, None);
     if let Some(config) = checked.config {
@@ -79,7 +78,7 @@
     }))
 }
 
-/// Checks one file, or compares two.
+/// Checks one file or compares two, and prints the result.
 pub fn check_file(
     path: &Path,
     endpoint_list: Option<&Path>,
@@ -100,7 +99,7 @@
     Ok(Answer::Yes)
 }
 
-/// The answer is no where the request is rejected before any route is looked for.
+/// Explains how a request is routed. The answer is no if the request is rejected before routing.
 pub fn explain(command: &ExplainCommand) -> CommandResult {
     let text = read_text(&command.file)?;
     let Some(config) = check(&text, None).config else {
@@ -117,13 +116,14 @@
             Ok(Answer::Yes)
         }
         Err(error) => {
-            println!("turned away with 400: {error}");
+            println!("rejected with 400: {error}");
             Ok(Answer::No)
         }
     }
 }
 
-/// The answer is no where the application's file has errors, which are printed to stderr.
+/// Generates a configuration. The answer is no if the application's file has errors, which are printed to
+/// stderr.
 pub fn configure(command: &ConfigureCommand) -> CommandResult {
     let application = read_text(&command.app)?;
     let file = command.app.display().to_string();
@@ -162,7 +162,7 @@
     }
 }
 
-/// Prints the findings; the configuration is there only if none of them is an error.
+/// Checks a file and prints the findings. The result has a configuration only if no finding is an error.
 fn check_and_print(
     path: &Path,
     known_names: Option<&[String]>,
--- a/crates/cli/src/state_command.rs
+++ b/crates/cli/src/state_command.rs
@@ -31,19 +31,19 @@
     Drop(DropState),
 }
 
-/// Say what is stored: of which balancer, how old, which servers.
+/// Show the stored states: the balancer, the age and the endpoints of each.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "show")]
 struct ShowState {
     /// the directory
     #[argh(positional)]
     folder: PathBuf,
-    /// as JSON
+    /// print as JSON
     #[argh(switch)]
     json: bool,
 }
 
-/// Say of each state whether a balancer could go on from it; ends with 1 where one could not.
+/// Check whether balancers can start from their stored states. The exit code is 1 if a state is invalid.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct CheckState {
@@ -52,19 +52,19 @@
     folder: PathBuf,
 }
 
-/// Remove the state of one balancer, which starts without the next time.
+/// Remove the stored state of one balancer, so that its next start doesn't use it.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "drop")]
 struct DropState {
     /// the directory
     #[argh(positional)]
     folder: PathBuf,
-    /// the balancer, by the name in its configuration
+    /// the name of the balancer in its configuration
     #[argh(option)]
     balancer: String,
 }
 
-/// One file of the directory.
+/// A file of the state directory.
 struct StateFile {
     name: String,
     content: Result<PersistedState, StateFileError>,
@@ -78,7 +78,7 @@
     Decode(state_file::StateFileError),
 }
 
-/// Shows, checks or drops stored states. The answer of a check is no where a state is invalid.
+/// Shows, checks or drops stored states. The answer of a check is no if a state is invalid.
 pub fn run(command: &StateCommand) -> CommandResult {
     match &command.action {
         StateAction::Show(command) => show(command),
@@ -102,7 +102,7 @@
     let files = read_state_files(&command.folder)?;
     for StateFile { name, content } in &files {
         match content {
-            Ok(state) => println!("{name}: good, of {}", state.balancer),
+            Ok(state) => println!("{name}: valid, of balancer {}", state.balancer),
             Err(error) => println!("{name}: {error}"),
         }
     }
@@ -113,7 +113,7 @@
     let mut directory = StateDirectory::new(LocalDisk, &command.folder);
     let file = directory.state_path(&command.balancer);
     directory.remove(&command.balancer).map_err(FileError::at(&file))?;
-    println!("{} is gone", file.display());
+    println!("{} is removed", file.display());
     Ok(Answer::Yes)
 }
 
@@ -139,11 +139,14 @@
     };
     let written = describe_age(&state.written_at);
     let confirmed = describe_age(&state.list_confirmed_at);
-    println!("{name}: of {}, {written}; list {} is {confirmed}", state.balancer, state.list_version);
+    println!(
+        "{name}: of balancer {}, {written}; list version {} is {confirmed}",
+        state.balancer, state.list_version
+    );
     for endpoint in &state.endpoints {
         println!("  {} at {}, {}", endpoint.id, endpoint.address, endpoint.status);
     }
-    println!("  {} lines of what was learned", state.learned_state.lines().count());
+    println!("  {} lines of learned state", state.learned_state.lines().count());
 }
 
 fn file_as_json(file: &StateFile) -> Value {
@@ -177,7 +180,7 @@
     })
 }
 
-/// A wall clock of 0 means that the moment was never recorded.
+/// Describes the age of a recorded time. A wall clock of 0 means that no time was recorded.
 fn describe_age(then: &ClockReading) -> String {
     let age = if then.wall_ms > 0 { Age::between(then, &read_clocks()) } else { Age::Unknown };
     age.to_string()
--- a/crates/cli/tests/migrate.rs
+++ b/crates/cli/tests/migrate.rs
@@ -100,14 +100,14 @@
     }
     expect![[r#"
         a dry run: exit Some(0), there: old.json
-        a target that is there: doorproxy: taken.json exists, and is not replaced | exit Some(2), there: old.json taken.json
+        a target that is there: doorproxy: taken.json: the file exists and is not replaced | exit Some(2), there: old.json taken.json
         a target that is there: it holds "as it was"
         too little said: missing: --listen | missing: --seed | missing: --zone, one of settings.dcs | missing: --report | exit Some(1), there: old.json
         a zone that nobody has heard of: missing: --zone, one of settings.dcs | exit Some(1), there: old.json
-        a report without the load: bad: the report has no "active", so loads stay unknown | exit Some(1), there: old.json
-        an ordinal beyond: doorproxy: an ordinal under 90 expected, not 90 | exit Some(2), there: old.json
-        no count: Required options not provided: |     --balancers | `doorproxy --help` tells more. | exit Some(2), there: old.json
-        broken JSON: bad: old.json: EOF while parsing an object at line 1 column 1 | exit Some(1), there: old.json
-        tenants: not carried over: settings.overage_benefit: goes with the tenants' shares | not carried over: settings.projects: each balancer counts an even part of a tenant's share, and processes do not carry alike | exit Some(1), there: new.json old.json
+        a report without the load: invalid: --report has no "active", so the load of endpoints would be unknown | exit Some(1), there: old.json
+        an ordinal beyond: doorproxy: --ordinal: 90 is not below 90, the number of balancers | exit Some(2), there: old.json
+        no count: Required options not provided: |     --balancers | Run `doorproxy --help` for usage. | exit Some(2), there: old.json
+        broken JSON: invalid: old.json: EOF while parsing an object at line 1 column 1 | exit Some(1), there: old.json
+        tenants: not carried over: settings.overage_benefit: omitted together with the tenants' shares | not carried over: settings.projects: each balancer enforces an even part of a tenant's share, but processes have unequal load | exit Some(1), there: new.json old.json
     "#]].assert_eq(&trace);
 }
--- a/crates/cli/tests/operators.rs
+++ b/crates/cli/tests/operators.rs
@@ -27,9 +27,9 @@
 }
 
 fn admin_address(balancer: &Balancer) -> SocketAddr {
-    balancer.log.wait_for_prefix("serving operators on ", 1);
+    balancer.log.wait_for_prefix("admin: listening on ", 1);
     let log = balancer.log.0.0.lock().unwrap();
-    log.lines().find_map(|line| line.strip_prefix("serving operators on ")).unwrap().parse().unwrap()
+    log.lines().find_map(|line| line.strip_prefix("admin: listening on ")).unwrap().parse().unwrap()
 }
 
 fn call(at: SocketAddr, text: &str) -> Message {
--- a/crates/cli/tests/sidecar.rs
+++ b/crates/cli/tests/sidecar.rs
@@ -288,7 +288,7 @@
     told += &format!("the op in hand: {}\n", slow.join().unwrap());
     expect![[r#"
         configuration reloaded
-        configuration not reloaded: order-retriable: this route names no methods, so it takes POST and others that are not safe to repeat, but its category "look" may run again (always); name only safe methods, take a category that repeats never, or say in may_repeat_unsafe why it does no harm
+        config: not reloaded: order-retriable: this route names no methods, so it takes POST and others that are not safe to repeat, but its category "look" may run again (always); name only safe methods, take a category that repeats never, or say in may_repeat_unsafe why it does no harm
         configuration not reloaded: listeners and sockets can only change with a new start
         /new/fine: HTTP/1.1 200 OK
         /quotes/fine: HTTP/1.1 404 Not Found
--- a/crates/cli/tests/upgrade.rs
+++ b/crates/cli/tests/upgrade.rs
@@ -52,7 +52,7 @@
         thread::spawn(move || lines.for_each(|line| of_log.record(&line)));
         log.wait_for_prefix("serving on ", 1);
         let text = log.0.0.lock().unwrap().clone();
-        let at = text.lines().find_map(|line| line.strip_prefix("serving operators on ")).unwrap();
+        let at = text.lines().find_map(|line| line.strip_prefix("admin: listening on ")).unwrap();
         let at = at.parse().unwrap();
         let address = self.listener.local_addr().unwrap();
         (Balancer { process, address, config: self.directory.join("config.json"), log }, at)
@@ -194,7 +194,7 @@
     BufReader::new(hung.stderr.take().unwrap()).read_line(&mut line).unwrap();
     let stop = format!("kill -STOP {}", hung.id());
     assert!(Command::new("sh").arg("-c").arg(stop).status().unwrap().success());
-    told.record(&format!("hangs: {}", line.starts_with("serving operators on")));
+    told.record(&format!("hangs: {}", line.starts_with("admin: listening on")));
     platform.config["discovery"] = known;
     Client::new(&old).get("/", "0").record_answer(&told);
     told.record(&format!("old: {}", call_admin(at_old, "GET /_ready", "")));
@@ -256,7 +256,7 @@
     for (accept, socket) in sockets {
         let ended = platform.spawn(accept, socket).wait_with_output().unwrap();
         let line = String::from_utf8(ended.stderr).unwrap().replace(&own, "OWN").replace(&other, "OTHER");
-        let line: Vec<&str> = line.lines().filter(|line| !line.starts_with("serving operators")).collect();
+        let line: Vec<&str> = line.lines().filter(|line| !line.starts_with("admin: listening on")).collect();
         said += &format!("{:?} {}\n", ended.status.code(), line.join(" | "));
     }
     platform.config["listen"] = json!("127.0.0.1:0");
@@ -280,7 +280,7 @@
     platform.config["discovery"] = json!(unresponsive_service());
     let mut new = platform.spawn("3", platform.listener.try_clone().unwrap().into());
     let mut lines = BufReader::new(new.stderr.take().unwrap()).lines().map_while(Result::ok);
-    assert!(lines.next().unwrap().starts_with("serving operators on"));
+    assert!(lines.next().unwrap().starts_with("admin: listening on"));
     let stop = format!("kill -TERM {}", new.id());
     assert!(Command::new("sh").arg("-c").arg(stop).status().unwrap().success());
     let said: Vec<String> = lines.collect();
