--- a/crates/cli/src/limits_command.rs
+++ b/crates/cli/src/limits_command.rs
@@ -86,7 +86,7 @@
     let lease_with_drift_s = lease_rules.duration_with_drift(lease_rules.max_duration).as_secs_f64();
     let contact_timeout_s = rules.contact_timeout.as_secs_f64();
     println!(
-        "a failed allocator is replaced within {:.1} s; after a restart of most replicas, \
+        "a failed allocator is replaced within {:.1} s; after a majority of replicas restarts, \
          nothing is allocated for {:.1} s",
         lease_with_drift_s + lease_s / POLLS_PER_LEASE + contact_timeout_s,
         lease_with_drift_s + contact_timeout_s
