--- a/crates/cli/tests/gone.rs
+++ b/crates/cli/tests/gone.rs
@@ -1,6 +1,7 @@
-//! Clients that have gone, and requests whose time is over, where the balancer can't have seen it as it came: their end lies behind
-//! bytes that it does not read, it stood still, or another request on the connection came first. Each crossing is forced; verdicts
-//! come from what clients and endpoints saw.
+//! Clients that disconnect, and requests whose deadline passes, where the balancer cannot see it at once: the
+//! end of the connection lies behind bytes that it has not read, the process was stopped, or an earlier
+//! request on the connection comes first. Each test forces its race, and checks what clients and endpoints
+//! saw.
 
 mod common;
 
@@ -12,15 +13,16 @@
 use common::*;
 use expect_test::expect;
 
-/// How many bytes the other side of the connection has not read, as the system has it.
+/// Returns how many received bytes the other side of the connection has not read, from /proc/net/tcp.
 fn unread_bytes(stream: &TcpStream) -> usize {
-    let hex = |at: std::net::SocketAddr| format!("0100007F:{:04X}", at.port());
-    let ways = format!("{} {}", hex(stream.peer_addr().unwrap()), hex(stream.local_addr().unwrap()));
-    // The table is no picture of one moment: read while others come and go it may leave out a line.
+    let to_hex = |address: std::net::SocketAddr| format!("0100007F:{:04X}", address.port());
+    let addresses =
+        format!("{} {}", to_hex(stream.peer_addr().unwrap()), to_hex(stream.local_addr().unwrap()));
+    // The table is not an atomic snapshot: a line may be missing while other connections open and close.
     let mut found = None;
     wait_until("the other side of the connection", || {
         let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
-        found = table.lines().find(|line| line.contains(&ways)).map(str::to_string);
+        found = table.lines().find(|line| line.contains(&addresses)).map(str::to_string);
         found.is_some()
     });
     let line = found.unwrap();
@@ -28,12 +30,14 @@
     usize::from_str_radix(queues.split_once(':').unwrap().1, 16).unwrap()
 }
 
-/// The balancer has read of this client's going, or had the time to: what it reads later is answered.
-fn next_request_is_answered(balancer: &Balancer, trace: &Trace) {
+/// Sends a request on a new connection and records its answer. The balancer reads it after whatever came
+/// before, so it has had the chance to act on an earlier disconnect.
+fn record_next_request(balancer: &Balancer, trace: &Trace) {
     Client::new(balancer).get("/", "next").record_answer(trace);
 }
 
-/// Guards against an attempt that goes on for nobody: more requests lie behind it than are read ahead, and the end behind them.
+/// Guards against an attempt that continues after its client has disconnected: more pipelined requests follow
+/// it than the balancer reads ahead, and the end of the connection comes after them.
 #[test]
 fn disconnect_behind_unread_pipeline_is_detected() {
     let trace = Trace::default();
@@ -44,10 +48,10 @@
     for id in 2..1000 {
         client.get("/", &id.to_string());
     }
-    // Ended, and not closed: that is told by nothing but the bytes' end.
+    // Shuts down sending instead of closing, so that the only sign of the disconnect is the end of the bytes.
     client.0.get_ref().shutdown(Shutdown::Write).unwrap();
     trace.wait_for("A: connection closed: true");
-    next_request_is_answered(&balancer, &trace);
+    record_next_request(&balancer, &trace);
     trace.assert_matches(expect![[r#"
         A: POST /hang HTTP/1.1 id 1 body "one"
         A: connection closed: true
@@ -56,13 +60,16 @@
     "#]]);
 }
 
-/// The same behind a long body, of which only the beginning is held until an endpoint reads the rest. What the system itself
-/// has no room for stays with the client, and the end behind it.
+/// Guards against an attempt that starts after its client has disconnected behind a long body. The balancer
+/// holds only the beginning of the body until an endpoint reads the rest, so the end of the connection lies
+/// behind bytes that it does not read.
 #[test]
 fn no_attempt_starts_after_disconnect_behind_long_body() {
-    let shut = BlockedEndpoint::new();
-    let mut config =
-        config_with_long_connect_timeout(&[endpoint_entry("a", shut.address, "active")], closing_service());
+    let blocked = BlockedEndpoint::new();
+    let mut config = config_with_long_connect_timeout(
+        &[endpoint_entry("a", blocked.address, "active")],
+        closing_service(),
+    );
     config["settings"]["limits"]["cancelling"] = serde_json::json!(false);
     let balancer = start_from(&config.to_string());
     let mut client = Client::new(&balancer);
@@ -71,41 +78,43 @@
         "POST / HTTP/1.1\r\n{}Content-Length: 100000\r\n\r\n{long}",
         request_headers("1", "buy")
     ));
-    shut.wait_for_connect();
+    blocked.wait_for_connect();
     client.0.get_ref().shutdown(Shutdown::Write).unwrap();
-    // The balancer ends its side as it sees that; the wait is for the system to tell.
-    let mut told = String::new();
-    let _ = client.0.read_to_string(&mut told);
-    assert_eq!(told, "");
-    let begun = shut.accept_first();
-    assert!(begun.is_none(), "{}", begun.unwrap().head);
+    // The balancer closes its side when it detects the disconnect; this read waits for that.
+    let mut text = String::new();
+    let _ = client.0.read_to_string(&mut text);
+    assert_eq!(text, "");
+    let started = blocked.accept_first();
+    assert!(started.is_none(), "{}", started.unwrap().head);
 }
 
-/// And while it goes on to an endpoint that has stopped reading.
+/// Guards against a body that streams on after its client has disconnected, while the endpoint has stopped
+/// reading.
 #[test]
 fn long_body_stops_streaming_after_disconnect() {
     let trace = Trace::default();
-    let of_upstream = trace.clone();
+    let endpoint_trace = trace.clone();
     let a = listen(move |mut stream| {
         let mut head = [0; 1000];
         stream.read_exact(&mut head).unwrap();
-        of_upstream.record("A: begun");
-        of_upstream.wait_for("go on");
+        endpoint_trace.record("A: request started");
+        endpoint_trace.wait_for("go on");
         let mut rest = Vec::new();
         let read = stream.read_to_end(&mut rest);
-        of_upstream
-            .record(&format!("A: came whole {}", read.is_ok() && rest.len() + head.len() > 30_000_000));
+        endpoint_trace
+            .record(&format!("A: body complete: {}", read.is_ok() && rest.len() + head.len() > 30_000_000));
     });
     let balancer = start(&[endpoint_entry("a", a, "active")]);
     let mut client = Client::new(&balancer);
     client
         .send(&format!("POST / HTTP/1.1\r\n{}Content-Length: 30000000\r\n\r\n", request_headers("1", "buy")));
     let stream = client.0.get_ref();
-    // Until the balancer itself can pass no more on and leaves it unread: the end is to lie behind that.
+    // Sends until the balancer can forward no more and leaves bytes unread, so that the disconnect lies
+    // behind them.
     let mut writer = stream;
-    // So much is held before anything goes on.
+    // The balancer buffers this much before it starts to forward.
     writer.write_all(&[b'x'; 1 << 17]).unwrap();
-    trace.wait_for("A: begun");
+    trace.wait_for("A: request started");
     while unread_bytes(stream) == 0 {
         writer.write_all(&[b'x'; 1 << 14]).unwrap();
         let written = Instant::now();
@@ -114,34 +123,37 @@
         }
     }
     stream.shutdown(Shutdown::Write).unwrap();
-    // The endpoint reads nothing until the balancer has let go of the client, which it would do in the end, after ten seconds in
-    // which nothing moves. Whether it says something to one who has left is nobody's concern.
-    let left = Instant::now();
+    // The endpoint reads nothing until the balancer has closed the client's connection. Without detection
+    // that happens only after ten seconds without progress. Whether the balancer still sends an answer does
+    // not matter.
+    let disconnected = Instant::now();
     let _ = writer.read_to_end(&mut Vec::new());
-    assert!(left.elapsed() < Duration::from_secs(8), "it noticed after {:?}", left.elapsed());
+    assert!(disconnected.elapsed() < Duration::from_secs(8), "detected after {:?}", disconnected.elapsed());
     trace.record("go on");
-    trace.wait_for("A: came whole false");
+    trace.wait_for("A: body complete: false");
 }
 
-/// Guards against a time that is counted from when a request's turn comes, where its client counts from when it sent it.
+/// Guards against a pipelined request's deadline that counts from its turn on the connection; its client
+/// counts from when it sent the request.
 #[test]
 fn pipelined_request_deadline_counts_from_arrival() {
     let trace = Trace::default();
     let balancer = start(&[endpoint_entry("a", test_endpoint("A", &trace), "active")]);
     let mut client = Client::new(&balancer);
-    let brief = |id: &str, ms: &str| request_headers(id, "look").replace("30000", ms);
+    let short_headers = |id: &str, ms: &str| request_headers(id, "look").replace("30000", ms);
     client.send(&format!(
         "GET /slow HTTP/1.1\r\n{}\r\nGET / HTTP/1.1\r\n{}\r\nGET / HTTP/1.1\r\n{}\r\n",
         request_headers("1", "look"),
-        brief("2", "400"),
+        short_headers("2", "400"),
         request_headers("3", "look"),
     ));
     let sent = Instant::now();
     trace.wait_for("A: GET /slow HTTP/1.1 id 1 body \"\"");
-    // What is to pass is the second one's time, and no test can make it pass sooner.
+    // Waits for the second request's deadline to pass, which a test cannot speed up.
     thread::sleep(Duration::from_millis(400).saturating_sub(sent.elapsed()));
     trace.record("go on");
-    // A trace of its own: the endpoint may get the third request before this thread has read the second one's answer.
+    // A separate trace, since the endpoint may get the third request before this thread has read the second
+    // answer.
     let answers = Trace::default();
     (0..3).for_each(|_| client.record_answer(&answers));
     answers.assert_matches(expect![[r#"
@@ -156,23 +168,24 @@
     "#]]);
 }
 
-/// Guards against requests that came to a stopped process and are dated later because reading them takes it long: it is stopped
-/// once more as soon as it has said that it stood still, for less than what it would notice.
+/// Guards against requests that arrived while the process was stopped but get a later arrival time because
+/// reading them takes long. The process is stopped again as soon as it has logged the stall, for less than it
+/// would detect.
 fn requests_from_before_resume_are_rejected(on_new_connections: bool) {
-    const OPS: usize = 300;
+    const REQUEST_COUNT: usize = 300;
     let trace = Trace::default();
-    let of_upstream = trace.clone();
+    let endpoint_trace = trace.clone();
     let a = listen(move |stream| {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         let mut writer = stream;
-        while let Some(op) = read_message(&mut reader) {
-            let id = op.field("req-id").unwrap_or("none");
-            of_upstream.record(&format!("A: {id}"));
+        while let Some(request) = read_message(&mut reader) {
+            let id = request.field("req-id").unwrap_or("none");
+            endpoint_trace.record(&format!("A: {id}"));
             let _ = writer.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         }
     });
     let balancer = start_with(&[endpoint_entry("a", a, "active")], closing_service(), 2048);
-    let connect = || (0..OPS).map(|_| Client::new(&balancer)).collect::<Vec<_>>();
+    let connect = || (0..REQUEST_COUNT).map(|_| Client::new(&balancer)).collect::<Vec<_>>();
     let mut clients = Vec::new();
     if !on_new_connections {
         clients = connect();
@@ -189,19 +202,19 @@
         let fields = request_headers(&format!("late-{id}"), "buy").replace("30000", "900");
         client.send(&format!("POST / HTTP/1.1\r\n{fields}Content-Length: 60000\r\n\r\n{body}"));
     }
-    // All their time passes, from the last of them on.
+    // All deadlines pass, counted from the last request.
     thread::sleep(Duration::from_millis(900));
     balancer.signal("CONT");
-    balancer.log.wait_until("its stall", |log| log.contains("server: process was stalled for"));
+    balancer.log.wait_until("the stall", |log| log.contains("server: process was stalled for"));
     balancer.signal("STOP");
     thread::sleep(Duration::from_millis(300));
     balancer.signal("CONT");
     let answered =
         |client: &mut Client| read_message(&mut client.0).map(|answer| answer.start_line().to_string());
     let answers: Vec<Option<String>> = clients.iter_mut().map(answered).collect();
-    let late = trace.0.0.lock().unwrap().lines().filter(|line| line.starts_with("A: late")).count();
-    let refused = answers.iter().flatten().filter(|answer| answer.contains("503")).count();
-    assert_eq!((late, refused), (0, OPS));
+    let forwarded = trace.0.0.lock().unwrap().lines().filter(|line| line.starts_with("A: late")).count();
+    let rejected = answers.iter().flatten().filter(|answer| answer.contains("503")).count();
+    assert_eq!((forwarded, rejected), (0, REQUEST_COUNT));
 }
 
 #[test]
@@ -209,7 +222,8 @@
     requests_from_before_resume_are_rejected(false);
 }
 
-/// The same where nobody has accepted them yet: that takes a turn more.
+/// Guards against the same on connections that are still in the accept queue when the process resumes:
+/// accepting them takes one more turn of its event loop.
 #[test]
 fn connections_queued_before_resume_expire() {
     requests_from_before_resume_are_rejected(true);
--- a/crates/cli/tests/upgrade.rs
+++ b/crates/cli/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! Upgrades: two processes of one balancer on a listening socket that both inherit, as the platform hands it to them.
+//! Upgrades: two processes of one balancer on a listening socket that both inherit from the platform.
 
 mod common;
 
@@ -15,7 +15,7 @@
 use expect_test::expect;
 use serde_json::{Value, json};
 
-/// The platform's part: the socket, and the folder that outlives the processes.
+/// Stands in for the platform: holds the listening socket and the folder, which outlive the processes.
 struct Platform {
     listener: TcpListener,
     directory: PathBuf,
@@ -36,10 +36,11 @@
     fn spawn(&self, accept: &str, socket: OwnedFd) -> Child {
         let file = self.directory.join("config.json");
         std::fs::write(&file, self.config.to_string()).unwrap();
-        // What a process is started with stands at its standard input; the shell moves it to where the platform has it.
-        let line = format!("exec 3<&0 </dev/null; exec {} serve", env!("CARGO_BIN_EXE_doorproxy"));
+        // `Command` can pass the socket only as standard input; the shell moves it to descriptor 3, as on the
+        // platform.
+        let shell_command = format!("exec 3<&0 </dev/null; exec {} serve", env!("CARGO_BIN_EXE_doorproxy"));
         let mut command = Command::new("sh");
-        command.arg("-c").arg(line).stdin(Stdio::from(socket)).stderr(Stdio::piped());
+        command.arg("-c").arg(shell_command).stdin(Stdio::from(socket)).stderr(Stdio::piped());
         command.env("TMPDIR", &self.directory).env("PROXY_CONFIG", file).env("PROXY_ACCEPT_FD", accept);
         command.env("PROXY_CONTROL", "127.0.0.1:0").spawn().unwrap()
     }
@@ -48,8 +49,8 @@
         let mut process = self.spawn("3", self.listener.try_clone().unwrap().into());
         let lines = BufReader::new(process.stderr.take().unwrap()).lines().map_while(Result::ok);
         let log = Trace::default();
-        let of_log = log.clone();
-        thread::spawn(move || lines.for_each(|line| of_log.record(&line)));
+        let log_writer = log.clone();
+        thread::spawn(move || lines.for_each(|line| log_writer.record(&line)));
         log.wait_for_prefix("server: serving on ", 1);
         let text = log.0.0.lock().unwrap().clone();
         let at = text.lines().find_map(|line| line.strip_prefix("serving operators on ")).unwrap();
@@ -59,8 +60,8 @@
     }
 }
 
-fn metric(at: SocketAddr, name: &str) -> i64 {
-    let mut stream = TcpStream::connect(at).unwrap();
+fn metric(admin: SocketAddr, name: &str) -> i64 {
+    let mut stream = TcpStream::connect(admin).unwrap();
     write!(stream, "GET /_vars HTTP/1.1\r\nHost: o\r\n\r\n").unwrap();
     let mut answer = String::new();
     stream.read_to_string(&mut answer).unwrap();
@@ -68,8 +69,8 @@
     value.split_once('|').unwrap().0.parse().unwrap()
 }
 
-fn call_admin(at: SocketAddr, call: &str, body: &str) -> String {
-    let mut stream = TcpStream::connect(at).unwrap();
+fn call_admin(admin: SocketAddr, call: &str, body: &str) -> String {
+    let mut stream = TcpStream::connect(admin).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     write!(stream, "{call} HTTP/1.1\r\nHost: o\r\nContent-Length: {}\r\n\r\n{body}", body.len()).unwrap();
     let mut answer = String::new();
@@ -77,44 +78,47 @@
     answer.split(' ').nth(1).unwrap_or("none").to_string()
 }
 
-/// Asks for one thing after another on a connection, and for a new one only where it was told to go. How many were
-/// answered, and what else came.
+/// Sends one request after another on a connection, and opens a new one when the balancer closes it. Returns
+/// the number of 200 responses, and everything that was neither a 200 nor a 503.
 fn generate_load(
     address: SocketAddr,
-    number: u64,
+    client: u64,
     stop: Arc<AtomicBool>,
 ) -> thread::JoinHandle<(u64, Vec<String>)> {
     thread::spawn(move || {
-        let (mut line, mut answered, mut odd) = (None::<BufReader<TcpStream>>, 0, Vec::new());
+        let (mut connection, mut answered, mut unexpected) = (None::<BufReader<TcpStream>>, 0, Vec::new());
         while !stop.load(Ordering::Relaxed) {
-            let stream = line.get_or_insert_with(|| {
+            let stream = connection.get_or_insert_with(|| {
                 let stream = TcpStream::connect(address).unwrap();
                 stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
                 BufReader::new(stream)
             });
-            let id = format!("{number}-{answered}");
+            let id = format!("{client}-{answered}");
             let head = request_headers(&id, "look").replace("Req-Key: k\r\n", "");
             write!(stream.get_mut(), "GET / HTTP/1.1\r\n{head}\r\n").unwrap();
             match read_message(stream) {
                 Some(answer) if answer.start_line().contains("200") => {
                     answered += 1;
                     if answer.field("connection") == Some("close") {
-                        line = None;
+                        connection = None;
                     }
                 }
-                // The one that is back is cold, and takes less than all of these ask for.
+                // The reattached endpoint is warming up and takes less than these clients send.
                 Some(answer) if answer.start_line().contains("503") => {
                     if answer.field("connection") == Some("close") {
-                        line = None;
+                        connection = None;
                     }
                 }
                 answer => {
-                    odd.push(answer.map_or("an end".to_string(), |answer| answer.start_line().to_string()));
-                    line = None;
+                    unexpected
+                        .push(answer.map_or("connection ended".to_string(), |answer| {
+                            answer.start_line().to_string()
+                        }));
+                    connection = None;
                 }
             }
         }
-        (answered, odd)
+        (answered, unexpected)
     })
 }
 
@@ -126,49 +130,49 @@
         endpoint_entry("b", test_endpoint("B", &trace), "active"),
     ];
     let platform = Platform::new("load", &known);
-    let (mut old, at_old) = platform.start();
+    let (mut old, old_admin) = platform.start();
     let stop = Arc::new(AtomicBool::new(false));
     let loads: Vec<_> = (0..6).map(|number| generate_load(old.address, number, stop.clone())).collect();
-    let told = Trace::default();
+    let report = Trace::default();
     trace.wait_for_prefix("A: ", 20);
-    told.record(&format!("out: {}", call_admin(at_old, "POST /_upstreams/detach", "a")));
-    let (new, at_new) = platform.start();
-    told.record(&format!("new: {}", call_admin(at_new, "GET /_ready", "")));
+    report.record(&format!("detach a at old: {}", call_admin(old_admin, "POST /_upstreams/detach", "a")));
+    let (new, new_admin) = platform.start();
+    report.record(&format!("new: {}", call_admin(new_admin, "GET /_ready", "")));
     old.log.wait_for("server: successor process is serving");
-    told.record(&format!("old: {}", call_admin(at_old, "GET /_ready", "")));
-    // A call to the one binds the other: b is out at both, and a is back.
-    told.record(&format!("back at the old one: {}", call_admin(at_old, "POST /_upstreams/attach", "a")));
-    told.record(&format!("out at the new one: {}", call_admin(at_new, "POST /_upstreams/detach", "b")));
+    report.record(&format!("old: {}", call_admin(old_admin, "GET /_ready", "")));
+    // An override at one process also applies to the other: b is detached at both, and a is attached again.
+    report.record(&format!("attach a at old: {}", call_admin(old_admin, "POST /_upstreams/attach", "a")));
+    report.record(&format!("detach b at new: {}", call_admin(new_admin, "POST /_upstreams/detach", "b")));
     old.signal("TERM");
-    told.record(&format!("old ended: {:?}", old.process.wait().unwrap().code()));
-    // What was on its way when b was put out may still come.
+    report.record(&format!("old ended: {:?}", old.process.wait().unwrap().code()));
+    // Requests that were in flight to b when it was detached may still arrive.
     let a = trace.0.0.lock().unwrap().lines().filter(|line| line.starts_with("A: ")).count();
     trace.wait_for_prefix("A: ", a + 50);
     let b = trace.0.0.lock().unwrap().lines().filter(|line| line.starts_with("B: ")).count();
     trace.wait_for_prefix("A: ", a + 200);
     let later = trace.0.0.lock().unwrap().lines().filter(|line| line.starts_with("B: ")).count();
-    told.record(&format!("pushed to b later: {}", later - b));
+    report.record(&format!("sent to b later: {}", later - b));
     stop.store(true, Ordering::Relaxed);
     for load in loads {
-        let (answered, odd) = load.join().unwrap();
+        let (answered, unexpected) = load.join().unwrap();
         assert!(answered > 20);
-        told.record(&format!("odd answers: {odd:?}"));
+        report.record(&format!("unexpected answers: {unexpected:?}"));
     }
     drop(new);
-    told.assert_matches(expect![[r#"
-        out: 200
+    report.assert_matches(expect![[r#"
+        detach a at old: 200
         new: 200
         old: 503
-        back at the old one: 200
-        out at the new one: 200
+        attach a at old: 200
+        detach b at new: 200
         old ended: Some(0)
-        pushed to b later: 0
-        odd answers: []
-        odd answers: []
-        odd answers: []
-        odd answers: []
-        odd answers: []
-        odd answers: []
+        sent to b later: 0
+        unexpected answers: []
+        unexpected answers: []
+        unexpected answers: []
+        unexpected answers: []
+        unexpected answers: []
+        unexpected answers: []
     "#]]);
 }
 
@@ -176,18 +180,19 @@
 fn predecessor_serves_on_when_successor_dies() {
     let trace = Trace::default();
     let mut platform = Platform::new("dies", &[endpoint_entry("a", test_endpoint("A", &trace), "active")]);
-    let (old, at_old) = platform.start();
+    let (old, old_admin) = platform.start();
     let told = Trace::default();
-    let mut held = Client::new(&old);
-    held.get("/slow", "1");
+    let mut pending_client = Client::new(&old);
+    pending_client.get("/slow", "1");
     trace.wait_for("A: GET /slow HTTP/1.1 id 1 body \"\"");
-    // One that can't even start.
-    let sound = platform.config.clone();
+    // A successor that fails to start.
+    let valid_config = platform.config.clone();
     platform.config["seed"] = json!("no seed");
     let ended = platform.spawn("3", platform.listener.try_clone().unwrap().into()).wait().unwrap();
     told.record(&format!("can't start: {:?}", ended.code()));
-    platform.config = sound;
-    // One that hangs before it serves: it stands still while it waits for a list that never comes.
+    platform.config = valid_config;
+    // A successor that hangs before it serves: it is stopped while it waits for an endpoint list that never
+    // arrives.
     let known = std::mem::replace(&mut platform.config["discovery"], json!(unresponsive_service()));
     let mut hung = platform.spawn("3", platform.listener.try_clone().unwrap().into());
     let mut line = String::new();
@@ -197,29 +202,30 @@
     told.record(&format!("hangs: {}", line.starts_with("serving operators on")));
     platform.config["discovery"] = known;
     Client::new(&old).get("/", "0").record_answer(&told);
-    told.record(&format!("old: {}", call_admin(at_old, "GET /_ready", "")));
+    told.record(&format!("old: {}", call_admin(old_admin, "GET /_ready", "")));
     hung.kill().unwrap();
     hung.wait().unwrap();
-    // One that is killed once it serves, which leaves its file behind.
+    // A successor that is killed while it serves, and leaves its process file behind.
     let (new, _) = platform.start();
     old.log.wait_for("server: successor process is serving");
     drop(new);
     old.log.wait_for("server: successor process has exited");
-    told.record(&format!("old: {}", call_admin(at_old, "GET /_ready", "")));
+    told.record(&format!("old: {}", call_admin(old_admin, "GET /_ready", "")));
     Client::new(&old).get("/", "2").record_answer(&told);
     trace.record("go on");
-    held.record_answer(&told);
-    // And a second one right after it. Who stands on a connection is told to go; who comes now meets the new one.
-    let mut kept = Client::new(&old);
-    kept.get("/", "3").record_answer(&told);
-    let (new, at_new) = platform.start();
+    pending_client.record_answer(&told);
+    // The next successor right after it: existing connections are told to close, and new ones reach the
+    // successor.
+    let mut kept_client = Client::new(&old);
+    kept_client.get("/", "3").record_answer(&told);
+    let (new, new_admin) = platform.start();
     old.log.wait_for_prefix("server: successor process is serving", 2);
-    kept.get("/", "4").record_answer(&told);
-    let answered = || metric(at_old, "edge_proxy.answered.look:");
+    kept_client.get("/", "4").record_answer(&told);
+    let answered = || metric(old_admin, "edge_proxy.answered.look:");
     let before = answered();
     (5..15).for_each(|id| drop(read_message(&mut Client::new(&new).get("/", &id.to_string()).0)));
-    told.record(&format!("the old one answered {} more", answered() - before));
-    told.record(&format!("new: {}", call_admin(at_new, "GET /_ready", "")));
+    told.record(&format!("requests answered by old: {}", answered() - before));
+    told.record(&format!("new: {}", call_admin(new_admin, "GET /_ready", "")));
     old.signal("TERM");
     Client::new(&new).get("/", "15").record_answer(&told);
     told.assert_matches(expect![[r#"
@@ -232,7 +238,7 @@
         client: 200 "slow"
         client: 200 "well", x-kept as it came
         client: 200 "well", connection close, x-kept as it came
-        the old one answered 0 more
+        requests answered by old: 0
         new: 200
         client: 200 "well", x-kept as it came
     "#]]);
@@ -241,23 +247,23 @@
 #[test]
 fn unusable_descriptor_fails_start_in_one_line() {
     let mut platform = Platform::new("bad", &[]);
-    let elsewhere = TcpListener::bind("127.0.0.1:0").unwrap();
-    let connected = TcpStream::connect(elsewhere.local_addr().unwrap()).unwrap();
+    let other_listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let connected = TcpStream::connect(other_listener.local_addr().unwrap()).unwrap();
     let own = platform.listener.local_addr().unwrap().to_string();
-    let other = elsewhere.local_addr().unwrap().to_string();
-    let mut said = String::new();
+    let other = other_listener.local_addr().unwrap().to_string();
+    let mut report = String::new();
     let sockets: [(&str, OwnedFd); 5] = [
         ("three", platform.listener.try_clone().unwrap().into()),
         ("77", platform.listener.try_clone().unwrap().into()),
         ("1", platform.listener.try_clone().unwrap().into()),
         ("3", connected.into()),
-        ("3", elsewhere.into()),
+        ("3", other_listener.into()),
     ];
     for (accept, socket) in sockets {
-        let ended = platform.spawn(accept, socket).wait_with_output().unwrap();
-        let line = String::from_utf8(ended.stderr).unwrap().replace(&own, "OWN").replace(&other, "OTHER");
+        let output = platform.spawn(accept, socket).wait_with_output().unwrap();
+        let line = String::from_utf8(output.stderr).unwrap().replace(&own, "OWN").replace(&other, "OTHER");
         let line: Vec<&str> = line.lines().filter(|line| !line.starts_with("serving operators")).collect();
-        said += &format!("{:?} {}\n", ended.status.code(), line.join(" | "));
+        report += &format!("{:?} {}\n", output.status.code(), line.join(" | "));
     }
     platform.config["listen"] = json!("127.0.0.1:0");
     expect![[r#"
@@ -267,27 +273,28 @@
         Some(1) doorproxy: PROXY_ACCEPT_FD: descriptor 3 is not a listening socket
         Some(1) doorproxy: PROXY_ACCEPT_FD: descriptor 3 listens on OTHER, expected OWN
     "#]]
-    .assert_eq(&said);
+    .assert_eq(&report);
 }
 
-/// Guards against a process that is told to end while it waits for the list, and goes on to serve in the old one's place.
+/// Guards against a successor that is told to shut down while it waits for the endpoint list, and then still
+/// takes over from its predecessor.
 #[test]
 fn successor_terminated_before_ready_never_serves() {
     let trace = Trace::default();
     let mut platform = Platform::new("ends", &[endpoint_entry("a", test_endpoint("A", &trace), "active")]);
-    let (old, at_old) = platform.start();
-    // It waits for a list that never comes.
+    let (old, old_admin) = platform.start();
+    // The successor waits for an endpoint list that never arrives.
     platform.config["discovery"] = json!(unresponsive_service());
     let mut new = platform.spawn("3", platform.listener.try_clone().unwrap().into());
     let mut lines = BufReader::new(new.stderr.take().unwrap()).lines().map_while(Result::ok);
     assert!(lines.next().unwrap().starts_with("serving operators on"));
     let stop = format!("kill -TERM {}", new.id());
     assert!(Command::new("sh").arg("-c").arg(stop).status().unwrap().success());
-    let said: Vec<String> = lines.collect();
-    assert!(!said.iter().any(|line| line.starts_with("server: serving on")), "{said:?}");
-    assert!(said.iter().any(|line| line == "server: shutdown requested before serving"), "{said:?}");
+    let log: Vec<String> = lines.collect();
+    assert!(!log.iter().any(|line| line.starts_with("server: serving on")), "{log:?}");
+    assert!(log.iter().any(|line| line == "server: shutdown requested before serving"), "{log:?}");
     assert_eq!(new.wait().unwrap().code(), Some(0));
-    assert_eq!(call_admin(at_old, "GET /_ready", ""), "200");
+    assert_eq!(call_admin(old_admin, "GET /_ready", ""), "200");
     Client::new(&old).get("/", "1").record_answer(&trace);
     trace.assert_matches(expect![[r#"
         A: GET / HTTP/1.1 id 1 body ""
