--- a/crates/cli/tests/large.rs
+++ b/crates/cli/tests/large.rs
@@ -1,4 +1,5 @@
-//! Bodies and answers that are longer than what is held, before endpoints that break, wait and send as they are told.
+//! Request and response bodies that are longer than the balancer buffers, with endpoints that drop the
+//! connection, wait or send in chunks as the path says.
 
 mod common;
 
@@ -11,7 +12,7 @@
 
 const MIB: usize = 1 << 20;
 
-/// Bytes that tell their places.
+/// Returns bytes whose values depend on their position, so that lost or misplaced bytes are detected.
 fn pattern_bytes(from: usize, length: usize) -> Vec<u8> {
     (from..from + length).map(|at| (at % 251) as u8).collect()
 }
@@ -43,24 +44,25 @@
     }
 }
 
-/// Reads a body, as it is framed; how much of it came, and whether each byte was right.
+/// Reads a body by its framing. Returns the number of bytes received, and whether each has the expected
+/// value.
 fn read_body(reader: &mut impl BufRead, head: &Head) -> (usize, bool) {
-    let (mut came, mut right) = (0, true);
+    let (mut received, mut intact) = (0, true);
     let mut take = |bytes: &[u8]| {
-        right &= bytes.iter().zip(came..).all(|(byte, at)| *byte == (at % 251) as u8);
-        came += bytes.len();
+        intact &= bytes.iter().zip(received..).all(|(byte, at)| *byte == (at % 251) as u8);
+        received += bytes.len();
     };
     match head.length() {
         Some(length) => {
-            let mut left = length;
+            let mut remaining = length;
             let mut bytes = vec![0; 64 << 10];
-            while left > 0 {
-                let most = left.min(bytes.len());
+            while remaining > 0 {
+                let most = remaining.min(bytes.len());
                 match reader.read(&mut bytes[..most]) {
                     Ok(0) | Err(_) => break,
                     Ok(read) => {
                         take(&bytes[..read]);
-                        left -= read;
+                        remaining -= read;
                     }
                 }
             }
@@ -79,10 +81,10 @@
         },
         None => {}
     }
-    (came, right)
+    (received, intact)
 }
 
-/// Does what the path says, and tells what came.
+/// Answers as the path says, and records what it received.
 fn streaming_endpoint(name: &'static str, trace: &Trace) -> SocketAddr {
     let trace = trace.clone();
     listen(move |stream| {
@@ -91,13 +93,13 @@
         while let Some(head) = Head::read(&mut reader) {
             let path = head.start_line().split(' ').nth(1).unwrap_or_default().to_string();
             if path == "/break" {
-                let mut some = vec![0; 100_000];
-                let _ = reader.read_exact(&mut some);
-                trace.record(&format!("{name}: {} broken off", head.start_line()));
+                let mut part = vec![0; 100_000];
+                let _ = reader.read_exact(&mut part);
+                trace.record(&format!("{name}: {} dropped", head.start_line()));
                 return;
             }
-            let (came, right) = read_body(&mut reader, &head);
-            trace.record(&format!("{name}: {} of {came}, right {right}", head.start_line()));
+            let (received, intact) = read_body(&mut reader, &head);
+            trace.record(&format!("{name}: {} received {received}, intact {intact}", head.start_line()));
             match path.as_str() {
                 "/cut" => {
                     write!(writer, "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n").unwrap();
@@ -149,59 +151,61 @@
 }
 
 fn get(balancer: &Balancer, path: &str, id: &str) -> BufReader<TcpStream> {
-    let mut line = connect(balancer);
-    write!(line.get_mut(), "GET {path} HTTP/1.1\r\n{}\r\n", request_headers(id, "look")).unwrap();
-    line
+    let mut connection = connect(balancer);
+    write!(connection.get_mut(), "GET {path} HTTP/1.1\r\n{}\r\n", request_headers(id, "look")).unwrap();
+    connection
 }
 
-fn describe_answer(line: &mut BufReader<TcpStream>) -> String {
-    let Some(head) = Head::read(line) else { return "no answer".to_string() };
+fn describe_answer(connection: &mut BufReader<TcpStream>) -> String {
+    let Some(head) = Head::read(connection) else { return "no answer".to_string() };
     let status = head.start_line().split(' ').nth(1).unwrap_or_default().to_string();
-    let said = head.length().map_or("pieces".to_string(), |length| length.to_string());
-    let (came, right) = read_body(line, &head);
-    if came < 100 {
+    let framing = head.length().map_or("chunked".to_string(), |length| format!("Content-Length {length}"));
+    let (received, intact) = read_body(connection, &head);
+    if received < 100 {
         return status;
     }
-    format!("{status}, {came} of {said}, right {right}")
+    format!("{status}, received {received} ({framing}), intact {intact}")
 }
 
 fn post(balancer: &Balancer, path: &str, id: &str, category: &str, length: usize) -> String {
-    let mut line = connect(balancer);
+    let mut connection = connect(balancer);
     let fields = request_headers(id, category);
-    write!(line.get_mut(), "POST {path} HTTP/1.1\r\n{fields}Content-Length: {length}\r\n\r\n").unwrap();
-    let mut sender = line.get_ref().try_clone().unwrap();
+    write!(connection.get_mut(), "POST {path} HTTP/1.1\r\n{fields}Content-Length: {length}\r\n\r\n").unwrap();
+    let mut sender = connection.get_ref().try_clone().unwrap();
     let sending = thread::spawn(move || {
         for at in (0..length).step_by(MIB) {
-            // It may be answered before it has sent all.
+            // The answer may arrive, and the connection close, before the whole body is sent.
             if sender.write_all(&pattern_bytes(at, MIB.min(length - at))).is_err() {
                 return;
             }
         }
     });
-    let answer = describe_answer(&mut line);
+    let answer = describe_answer(&mut connection);
     sending.join().unwrap();
     answer
 }
 
+/// Guards against buffering whole bodies: four clients each send and receive 32 MiB, and the peak memory of
+/// the balancer must stay under 32 MiB.
 #[test]
-fn thirty_two_megabytes_go_both_ways_in_bounded_memory() {
+fn large_bodies_stream_both_ways_in_bounded_memory() {
     let trace = Trace::default();
     let balancer = start(&[endpoint_entry("a", streaming_endpoint("A", &trace), "active")]);
-    let told = Trace::default();
+    let report = Trace::default();
     thread::scope(|scope| {
         for id in 0..4 {
-            let (balancer, told) = (&balancer, &told);
+            let (balancer, report) = (&balancer, &report);
             scope.spawn(move || {
-                told.record(&post(balancer, "/", &format!("up{id}"), "buy", 32 * MIB));
-                told.record(&describe_answer(&mut get(balancer, "/large", &format!("down{id}"))));
+                report.record(&post(balancer, "/", &format!("up{id}"), "buy", 32 * MIB));
+                report.record(&describe_answer(&mut get(balancer, "/large", &format!("down{id}"))));
             });
         }
     });
     let status = std::fs::read_to_string(format!("/proc/{}/status", balancer.process.id())).unwrap();
-    let most = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap();
-    let most: usize = most.trim().trim_end_matches(" kB").parse().unwrap();
-    assert!(most < 32 << 10, "{most} kB at most");
-    let mut lines: Vec<String> = [&trace, &told]
+    let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap();
+    let peak: usize = peak.trim().trim_end_matches(" kB").parse().unwrap();
+    assert!(peak < 32 << 10, "peak memory: {peak} kB");
+    let mut lines: Vec<String> = [&trace, &report]
         .iter()
         .flat_map(|of| of.0.0.lock().unwrap().lines().map(str::to_string).collect::<Vec<_>>())
         .collect();
@@ -209,13 +213,14 @@
     lines.dedup();
     expect![[r#"
         200
-        200, 33554432 of 33554432, right true
-        A: GET /large HTTP/1.1 of 0, right true
-        A: POST / HTTP/1.1 of 33554432, right true"#]]
+        200, received 33554432 (Content-Length 33554432), intact true
+        A: GET /large HTTP/1.1 received 0, intact true
+        A: POST / HTTP/1.1 received 33554432, intact true"#]]
     .assert_eq(&lines.join("\n"));
 }
 
-/// Guards against a body whose rest two attempts would send, and against a second attempt of what is gone.
+/// Guards against two attempts that each send part of one body, and against a retry without the part that has
+/// already been streamed.
 #[test]
 fn request_is_not_retried_once_its_body_streams() {
     let trace = Trace::default();
@@ -223,26 +228,26 @@
         endpoint_entry("a", streaming_endpoint("A", &trace), "active"),
         endpoint_entry("b", streaming_endpoint("B", &trace), "active"),
     ];
-    let told = Trace::default();
+    let report = Trace::default();
     for (id, category) in [("1", "look"), ("2", "buy")] {
-        told.record(&post(&start(&known), "/break", id, category, 4 * MIB));
+        report.record(&post(&start(&known), "/break", id, category, 4 * MIB));
     }
-    let pushed = trace.0.0.lock().unwrap().lines().count();
-    told.record(&format!("pushed {pushed} times"));
-    // One that finds no connection has sent nothing of it.
-    let nobody = UNREACHABLE_ADDRESS.parse().unwrap();
+    let sent = trace.0.0.lock().unwrap().lines().count();
+    report.record(&format!("sent {sent} times"));
+    // An attempt that fails to connect has sent nothing of the body, so the request is retried.
+    let unreachable = UNREACHABLE_ADDRESS.parse().unwrap();
     let known = [
-        endpoint_entry("a", nobody, "active"),
+        endpoint_entry("a", unreachable, "active"),
         endpoint_entry("b", streaming_endpoint("B", &trace), "active"),
     ];
     let balancer = start(&known);
     for id in 3..7 {
-        told.record(&post(&balancer, "/", &id.to_string(), "buy", MIB));
+        report.record(&post(&balancer, "/", &id.to_string(), "buy", MIB));
     }
-    told.assert_matches(expect![[r#"
+    report.assert_matches(expect![[r#"
         503
         503
-        pushed 2 times
+        sent 2 times
         200
         200
         200
@@ -250,99 +255,102 @@
     "#]]);
 }
 
-/// Guards against an answer that broke off and looks whole, or is held back until it is.
+/// Guards against a truncated response that looks complete, and against buffering a response until it is
+/// complete.
 #[test]
 fn long_responses_stream_from_first_byte_and_break_visibly() {
     let trace = Trace::default();
     let balancer = start(&[endpoint_entry("a", streaming_endpoint("A", &trace), "active")]);
-    let told = Trace::default();
+    let report = Trace::default();
     for (id, path) in ["/cut", "/cut-pieces", "/pieces", "/until-closed"].into_iter().enumerate() {
-        let mut line = get(&balancer, path, &id.to_string());
-        let answer = describe_answer(&mut line);
+        let mut connection = get(&balancer, path, &id.to_string());
+        let answer = describe_answer(&mut connection);
         let mut rest = Vec::new();
-        let behind = if path == "/pieces" { Ok(0) } else { line.read_to_end(&mut rest) };
-        told.record(&format!("{path}: {answer}, behind it {:?}", behind.map_err(|error| error.kind())));
+        let end = if path == "/pieces" { Ok(0) } else { connection.read_to_end(&mut rest) };
+        report.record(&format!("{path}: {answer}, then {:?}", end.map_err(|error| error.kind())));
     }
-    let mut line = get(&balancer, "/first", "first");
-    let head = Head::read(&mut line).unwrap();
+    let mut connection = get(&balancer, "/first", "first");
+    let head = Head::read(&mut connection).unwrap();
     let mut first = [0; 1000];
-    line.read_exact(&mut first).unwrap();
+    connection.read_exact(&mut first).unwrap();
     trace.record("client: has the first bytes");
     let mut rest = vec![0; 199_000];
-    line.read_exact(&mut rest).unwrap();
-    told.record(&format!(
-        "/first: {:?} right {}",
+    connection.read_exact(&mut rest).unwrap();
+    report.record(&format!(
+        "/first: {:?} intact {}",
         head.length(),
         [first.to_vec(), rest].concat() == pattern_bytes(0, 200_000)
     ));
-    told.assert_matches(expect![[r#"
-        /cut: 200, 100000 of 200000, right true, behind it Ok(0)
-        /cut-pieces: 200, 100000 of pieces, right true, behind it Ok(0)
-        /pieces: 200, 200000 of pieces, right true, behind it Ok(0)
-        /until-closed: 200, 150000 of pieces, right true, behind it Ok(0)
-        /first: Some(200000) right true
+    report.assert_matches(expect![[r#"
+        /cut: 200, received 100000 (Content-Length 200000), intact true, then Ok(0)
+        /cut-pieces: 200, received 100000 (chunked), intact true, then Ok(0)
+        /pieces: 200, received 200000 (chunked), intact true, then Ok(0)
+        /until-closed: 200, received 150000 (chunked), intact true, then Ok(0)
+        /first: Some(200000) intact true
     "#]]);
 }
 
+/// Guards against mishandling framing that HTTP/1.1 allows: chunk extensions and trailers,
+/// `Expect: 100-continue`, HEAD, absolute URLs, slow heads and incomplete bodies.
 #[test]
-fn http_1_1_message_framing() {
+fn http_1_1_framing_variants_get_correct_answers() {
     let trace = Trace::default();
     let balancer = start(&[endpoint_entry("a", streaming_endpoint("A", &trace), "active")]);
-    let told = Trace::default();
-    // In pieces, with an extension and a trailer, more than is held.
-    let mut line = connect(&balancer);
+    let report = Trace::default();
+    // Chunks with an extension and a trailer, longer than the balancer buffers.
+    let mut connection = connect(&balancer);
     write!(
-        line.get_mut(),
+        connection.get_mut(),
         "POST /chunked HTTP/1.1\r\n{}Transfer-Encoding: chunked\r\n\r\n",
         request_headers("1", "buy")
     )
     .unwrap();
     for at in 0..10 {
-        write!(line.get_mut(), "2710;ext=\"a\"\r\n").unwrap();
-        line.get_mut().write_all(&pattern_bytes(at * 10_000, 10_000)).unwrap();
-        write!(line.get_mut(), "\r\n").unwrap();
+        write!(connection.get_mut(), "2710;ext=\"a\"\r\n").unwrap();
+        connection.get_mut().write_all(&pattern_bytes(at * 10_000, 10_000)).unwrap();
+        write!(connection.get_mut(), "\r\n").unwrap();
     }
-    write!(line.get_mut(), "0\r\nX-Trailer: t\r\n\r\n").unwrap();
-    told.record(&format!("chunked: {}", describe_answer(&mut line)));
-    // It waits to be told before it sends its body.
-    let mut line = connect(&balancer);
+    write!(connection.get_mut(), "0\r\nX-Trailer: t\r\n\r\n").unwrap();
+    report.record(&format!("chunked: {}", describe_answer(&mut connection)));
+    // The client waits for 100 Continue before it sends its body.
+    let mut connection = connect(&balancer);
     write!(
-        line.get_mut(),
+        connection.get_mut(),
         "POST /expect HTTP/1.1\r\n{}Expect: 100-continue\r\nContent-Length: 5\r\n\r\n",
         request_headers("2", "buy")
     )
     .unwrap();
-    told.record(&format!("expect: {}", Head::read(&mut line).unwrap().start_line()));
-    line.get_mut().write_all(&pattern_bytes(0, 5)).unwrap();
-    told.record(&format!("expect: {}", describe_answer(&mut line)));
-    // The same connection goes on.
-    write!(line.get_mut(), "HEAD /head HTTP/1.1\r\n{}\r\n", request_headers("3", "look")).unwrap();
-    told.record(&format!("head: {}", Head::read(&mut line).unwrap().start_line()));
+    report.record(&format!("expect: {}", Head::read(&mut connection).unwrap().start_line()));
+    connection.get_mut().write_all(&pattern_bytes(0, 5)).unwrap();
+    report.record(&format!("expect: {}", describe_answer(&mut connection)));
+    // The same connection is used for the next request.
+    write!(connection.get_mut(), "HEAD /head HTTP/1.1\r\n{}\r\n", request_headers("3", "look")).unwrap();
+    report.record(&format!("head: {}", Head::read(&mut connection).unwrap().start_line()));
     write!(
-        line.get_mut(),
+        connection.get_mut(),
         "GET http://origin.svc/absolute?a=b HTTP/1.1\r\n{}\r\n",
         request_headers("4", "look")
     )
     .unwrap();
-    told.record(&format!("absolute: {}", describe_answer(&mut line)));
-    // A head that comes byte by byte.
+    report.record(&format!("absolute: {}", describe_answer(&mut connection)));
+    // A head that arrives byte by byte.
     for byte in format!("GET /bytes HTTP/1.1\r\n{}\r\n", request_headers("5", "look")).bytes() {
-        line.get_mut().write_all(&[byte]).unwrap();
+        connection.get_mut().write_all(&[byte]).unwrap();
     }
-    told.record(&format!("byte by byte: {}", describe_answer(&mut line)));
-    // Half of a body, and then no more.
-    let mut line = connect(&balancer);
+    report.record(&format!("byte by byte: {}", describe_answer(&mut connection)));
+    // A body that stops halfway.
+    let mut connection = connect(&balancer);
     write!(
-        line.get_mut(),
+        connection.get_mut(),
         "POST /half HTTP/1.1\r\n{}Content-Length: 200000\r\n\r\n",
         request_headers("6", "buy")
     )
     .unwrap();
-    line.get_mut().write_all(&pattern_bytes(0, 100_000)).unwrap();
-    told.record(&format!("half: {}", describe_answer(&mut line)));
+    connection.get_mut().write_all(&pattern_bytes(0, 100_000)).unwrap();
+    report.record(&format!("half: {}", describe_answer(&mut connection)));
     trace.wait_for_prefix("A: POST /half", 1);
-    told.record(trace.0.0.lock().unwrap().trim_end());
-    told.assert_matches(expect![[r#"
+    report.record(trace.0.0.lock().unwrap().trim_end());
+    report.assert_matches(expect![[r#"
         chunked: 200
         expect: HTTP/1.1 100 Continue
         expect: 200
@@ -350,11 +358,11 @@
         absolute: 200
         byte by byte: 200
         half: 408
-        A: POST /chunked HTTP/1.1 of 100000, right true
-        A: POST /expect HTTP/1.1 of 5, right true
-        A: HEAD /head HTTP/1.1 of 0, right true
-        A: GET /absolute?a=b HTTP/1.1 of 0, right true
-        A: GET /bytes HTTP/1.1 of 0, right true
-        A: POST /half HTTP/1.1 of 100000, right true
+        A: POST /chunked HTTP/1.1 received 100000, intact true
+        A: POST /expect HTTP/1.1 received 5, intact true
+        A: HEAD /head HTTP/1.1 received 0, intact true
+        A: GET /absolute?a=b HTTP/1.1 received 0, intact true
+        A: GET /bytes HTTP/1.1 received 0, intact true
+        A: POST /half HTTP/1.1 received 100000, intact true
     "#]]);
 }
--- a/crates/cli/tests/operators.rs
+++ b/crates/cli/tests/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' address of a balancer as a process: calls, what they change, and what is told of it.
+//! The admin API of a running balancer: its calls, their effects, and the metrics that report them.
 
 mod common;
 
@@ -22,8 +22,8 @@
 fn start_with_admin_api_from(mut config: Value) -> (Balancer, SocketAddr) {
     config["control"] = json!("127.0.0.1:0");
     let balancer = start_from(&config.to_string());
-    let at = admin_address(&balancer);
-    (balancer, at)
+    let admin = admin_address(&balancer);
+    (balancer, admin)
 }
 
 fn admin_address(balancer: &Balancer) -> SocketAddr {
@@ -32,33 +32,36 @@
     log.lines().find_map(|line| line.strip_prefix("serving operators on ")).unwrap().parse().unwrap()
 }
 
-fn call(at: SocketAddr, text: &str) -> Message {
-    let mut stream = TcpStream::connect(at).unwrap();
+fn call(admin: SocketAddr, request: &str) -> Message {
+    let mut stream = TcpStream::connect(admin).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-    stream.write_all(text.as_bytes()).unwrap();
+    stream.write_all(request.as_bytes()).unwrap();
     read_message(&mut std::io::BufReader::new(stream)).expect("an answer")
 }
 
-fn post(at: SocketAddr, path: &str, body: &str) -> String {
+fn post(admin: SocketAddr, path: &str, body: &str) -> String {
     let length = body.len();
-    status(&call(at, &format!("POST {path} HTTP/1.1\r\nHost: o\r\nContent-Length: {length}\r\n\r\n{body}")))
+    status(&call(
+        admin,
+        &format!("POST {path} HTTP/1.1\r\nHost: o\r\nContent-Length: {length}\r\n\r\n{body}"),
+    ))
 }
 
-fn get(at: SocketAddr, path: &str) -> Message {
-    call(at, &format!("GET {path} HTTP/1.1\r\nHost: o\r\n\r\n"))
+fn get(admin: SocketAddr, path: &str) -> Message {
+    call(admin, &format!("GET {path} HTTP/1.1\r\nHost: o\r\n\r\n"))
 }
 
 fn status(answer: &Message) -> String {
     answer.start_line().split(' ').nth(1).unwrap().to_string()
 }
 
-fn metrics(at: SocketAddr) -> BTreeMap<String, i64> {
-    let text = get(at, "/_vars").body;
-    let figure = |line: &str| {
+fn metrics(admin: SocketAddr) -> BTreeMap<String, i64> {
+    let text = get(admin, "/_vars").body;
+    let metric = |line: &str| {
         let (name, value) = line.strip_prefix("edge_proxy.")?.split_once(':')?;
         Some((name.to_string(), value.split_once('|')?.0.parse().ok()?))
     };
-    text.lines().map(|line| figure(line).unwrap_or_else(|| panic!("no figure: {line}"))).collect()
+    text.lines().map(|line| metric(line).unwrap_or_else(|| panic!("not a metric: {line}"))).collect()
 }
 
 fn two_endpoints(trace: &Trace) -> [Value; 2] {
@@ -68,10 +71,10 @@
     ]
 }
 
-/// Which endpoints answered ten requests.
-fn endpoints_used(balancer: &Balancer, trace: &Trace, from: usize) -> String {
+/// Sends ten requests and returns the names of the endpoints that received them.
+fn endpoints_used(balancer: &Balancer, trace: &Trace, first_id: usize) -> String {
     let before = trace.0.0.lock().unwrap().len();
-    (from..from + 10).for_each(|id| {
+    (first_id..first_id + 10).for_each(|id| {
         let mut client = Client::new(balancer);
         client.send(&format!(
             "GET /x{id} HTTP/1.1\r\n{}\r\n",
@@ -86,43 +89,46 @@
     names.join(" ")
 }
 
+/// Guards against a manual override that is lost when the balancer restarts.
 #[test]
-fn detached_endpoint_gets_nothing_until_attached_across_restarts() {
+fn detached_endpoint_gets_no_requests_until_attached() {
     let trace = Trace::default();
     let known = two_endpoints(&trace);
-    let (balancer, at) = start_with_admin_api(&known);
-    let told = Trace::default();
-    let gauges = |told: &Trace, at| {
-        let figures = metrics(at);
-        told.record(&format!("listed {} avoided {}", figures["cluster_size"], figures["cluster_unhealthy"]));
+    let (balancer, admin) = start_with_admin_api(&known);
+    let report = Trace::default();
+    let gauges = |report: &Trace, admin| {
+        let values = metrics(admin);
+        report
+            .record(&format!("listed {} unhealthy {}", values["cluster_size"], values["cluster_unhealthy"]));
     };
     for body in ["a", " a\r\n"] {
-        told.record(&format!("out: {}", post(at, "/_upstreams/detach", body)));
+        report.record(&format!("detach: {}", post(admin, "/_upstreams/detach", body)));
     }
-    told.record(&format!("used: {}", endpoints_used(&balancer, &trace, 0)));
-    gauges(&told, at);
-    // The next process of this balancer keeps to it, though its list says otherwise.
+    report.record(&format!("used: {}", endpoints_used(&balancer, &trace, 0)));
+    gauges(&report, admin);
+    // The next process of this balancer keeps the override, although the endpoint list says that a is ready.
     drop(balancer);
-    let (balancer, at) = start_with_admin_api(&known);
-    told.record(&format!("used by the next: {}", endpoints_used(&balancer, &trace, 10)));
-    told.record(&format!("back: {}", post(at, "/_upstreams/attach", "a")));
-    told.record(&format!("back again: {}", post(at, "/_upstreams/attach", "a")));
-    told.record(&format!("used: {}", endpoints_used(&balancer, &trace, 20)));
-    gauges(&told, at);
-    told.assert_matches(expect![[r#"
-        out: 200
-        out: 200
+    let (balancer, admin) = start_with_admin_api(&known);
+    report.record(&format!("used after restart: {}", endpoints_used(&balancer, &trace, 10)));
+    report.record(&format!("attach: {}", post(admin, "/_upstreams/attach", "a")));
+    report.record(&format!("attach again: {}", post(admin, "/_upstreams/attach", "a")));
+    report.record(&format!("used: {}", endpoints_used(&balancer, &trace, 20)));
+    gauges(&report, admin);
+    report.assert_matches(expect![[r#"
+        detach: 200
+        detach: 200
         used: B
-        listed 2 avoided 1
-        used by the next: B
-        back: 200
-        back again: 200
+        listed 2 unhealthy 1
+        used after restart: B
+        attach: 200
+        attach again: 200
         used: A B
-        listed 2 avoided 0
+        listed 2 unhealthy 0
     "#]]);
 }
 
-/// The list says that it is ready, anew and in new words; that is no call back.
+/// Guards against an endpoint list that ends a manual override: listing a detached endpoint as ready, even in
+/// a newer version, does not attach it.
 #[test]
 fn discovery_does_not_attach_a_detached_endpoint() {
     let trace = Trace::default();
@@ -136,18 +142,18 @@
         };
         Some(list.to_string())
     });
-    let mut of_nobody = config(&known, closing_service(), 256);
-    of_nobody["control"] = json!("127.0.0.1:0");
-    let first = start_from(&of_nobody.to_string());
-    let told = Trace::default();
-    told.record(&post(admin_address(&first), "/_upstreams/detach", "a"));
+    let mut config_without_discovery = config(&known, closing_service(), 256);
+    config_without_discovery["control"] = json!("127.0.0.1:0");
+    let first = start_from(&config_without_discovery.to_string());
+    let report = Trace::default();
+    report.record(&post(admin_address(&first), "/_upstreams/detach", "a"));
     drop(first);
-    let (balancer, at) = start_with_admin_api_from(config(&known, discovery, 256));
+    let (balancer, admin) = start_with_admin_api_from(config(&known, discovery, 256));
     balancer.log.wait_for_prefix("discovery: endpoint 2353555337 is a", 2);
-    told.record(&format!("used: {}", endpoints_used(&balancer, &trace, 0)));
-    told.record(&post(at, "/_upstreams/attach", "a"));
-    told.record(&format!("used: {}", endpoints_used(&balancer, &trace, 10)));
-    told.assert_matches(expect![[r#"
+    report.record(&format!("used: {}", endpoints_used(&balancer, &trace, 0)));
+    report.record(&post(admin, "/_upstreams/attach", "a"));
+    report.record(&format!("used: {}", endpoints_used(&balancer, &trace, 10)));
+    report.assert_matches(expect![[r#"
         200
         used: B
         200
@@ -158,10 +164,10 @@
 #[test]
 fn invalid_admin_calls_are_rejected_without_effect() {
     let trace = Trace::default();
-    let (balancer, at) = start_with_admin_api(&two_endpoints(&trace));
-    // More of them than there is room for, and each says nothing.
-    let silent: Vec<TcpStream> = (0..12).map(|_| TcpStream::connect(at).unwrap()).collect();
-    let told = Trace::default();
+    let (balancer, admin) = start_with_admin_api(&two_endpoints(&trace));
+    // More idle connections than the admin API holds open.
+    let idle: Vec<TcpStream> = (0..12).map(|_| TcpStream::connect(admin).unwrap()).collect();
+    let report = Trace::default();
     let long = "a".repeat(2000);
     for (path, body) in [
         ("/_upstreams/detach", "nobody"),
@@ -173,20 +179,20 @@
         ("/_upstreams/else", "a"),
         ("/_vars", "a"),
     ] {
-        told.record(&format!("POST {path} of {}: {}", body.len(), post(at, path, body)));
+        report.record(&format!("POST {path} of {}: {}", body.len(), post(admin, path, body)));
     }
     for path in ["/_ready", "/_upstreams/detach", "/", "/-/ready"] {
-        told.record(&format!("GET {path}: {}", status(&get(at, path))));
+        report.record(&format!("GET {path}: {}", status(&get(admin, path))));
     }
-    told.record(&format!("garbage: {}", status(&call(at, "garbage\r\n\r\n"))));
-    // A head without end is closed in a bounded time.
-    let mut endless = TcpStream::connect(at).unwrap();
+    report.record(&format!("garbage: {}", status(&call(admin, "garbage\r\n\r\n"))));
+    // A connection whose head never ends is closed after a bounded time.
+    let mut endless = TcpStream::connect(admin).unwrap();
     endless.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     endless.write_all(b"GET /_ready HTTP/1.1\r\nHost: o").unwrap();
-    told.record(&format!("endless: {:?} bytes", endless.read(&mut [0]).unwrap()));
-    told.record(&format!("used: {}", endpoints_used(&balancer, &trace, 0)));
-    drop(silent);
-    told.assert_matches(expect![[r#"
+    report.record(&format!("endless: {:?} bytes", endless.read(&mut [0]).unwrap()));
+    report.record(&format!("used: {}", endpoints_used(&balancer, &trace, 0)));
+    drop(idle);
+    report.assert_matches(expect![[r#"
         POST /_upstreams/detach of 6: 404
         POST /_upstreams/attach of 6: 404
         POST /_upstreams/detach of 0: 400
@@ -211,27 +217,29 @@
     links.filter(|link| link.to_string_lossy().starts_with("socket:")).count()
 }
 
-/// Guards against callers that say nothing and take all descriptors: of more than eight the oldest goes, at once.
+/// Guards against idle callers that use up all descriptors: with more than eight connections, the admin API
+/// closes the oldest at once.
 #[test]
 fn admin_connections_are_bounded() {
     let trace = Trace::default();
-    let (balancer, at) = start_with_admin_api(&two_endpoints(&trace));
+    let (balancer, admin) = start_with_admin_api(&two_endpoints(&trace));
     let before = socket_count(&balancer);
-    let silent: Vec<TcpStream> = (0..60).map(|_| TcpStream::connect(at).unwrap()).collect();
-    // Behind them in the queue: when it is answered, all of them have been seen.
-    assert_eq!(status(&get(at, "/_ready")), "200");
+    let idle: Vec<TcpStream> = (0..60).map(|_| TcpStream::connect(admin).unwrap()).collect();
+    // This call comes last in the accept queue, so its answer shows that all the others have been accepted.
+    assert_eq!(status(&get(admin, "/_ready")), "200");
     let held = socket_count(&balancer) - before;
-    assert!(held <= 12, "{held} callers are held");
-    drop(silent);
+    assert!(held <= 12, "{held} admin connections are open");
+    drop(idle);
 }
 
-/// Each way in which a request can end counts once: drawn runs, and what the clients saw beside what the figures say.
+/// Guards against requests that are counted twice or not at all: compares the metrics of random requests with
+/// the answers that the clients got.
 #[test]
 fn metrics_match_what_clients_saw() {
-    let mut told = String::new();
+    let mut outcomes = String::new();
     for seed in 0..4_u64 {
         let trace = Trace::default();
-        let (balancer, at) = start_with_admin_api(&two_endpoints(&trace));
+        let (balancer, admin) = start_with_admin_api(&two_endpoints(&trace));
         let mut rng = doorproxy::rng::Pcg::new(seed);
         let mut seen: BTreeMap<String, i64> = BTreeMap::new();
         for id in 0..40 {
@@ -247,27 +255,27 @@
                 client.send(&format!("GET /{path} HTTP/1.1\r\n{head}\r\n"));
             }
             let Some(answer) = read_message(&mut client.0) else { continue };
-            let ending = match status(&answer).as_str() {
+            let outcome = match status(&answer).as_str() {
                 "200" => "answered",
                 "503" | "429" => "deferred",
                 _ => "errored",
             };
-            *seen.entry(format!("{ending}.{category}")).or_default() += 1;
+            *seen.entry(format!("{outcome}.{category}")).or_default() += 1;
         }
-        let figures = metrics(at);
-        for (name, count) in figures.iter().filter(|(name, _)| name.contains('.')) {
+        let values = metrics(admin);
+        for (name, count) in values.iter().filter(|(name, _)| name.contains('.')) {
             assert_eq!(*count, seen.get(name).copied().unwrap_or(0), "{name} of seed {seed}");
         }
-        let pushed = trace.0.0.lock().unwrap().lines().filter(|line| line.contains(" id ")).count();
-        assert_eq!((figures["sends"], figures["current"]), (pushed as i64, 0), "seed {seed}");
-        told += &format!("{}\n", seen.keys().map(String::as_str).collect::<Vec<_>>().join(" "));
+        let sent = trace.0.0.lock().unwrap().lines().filter(|line| line.contains(" id ")).count();
+        assert_eq!((values["sends"], values["current"]), (sent as i64, 0), "seed {seed}");
+        outcomes += &format!("{}\n", seen.keys().map(String::as_str).collect::<Vec<_>>().join(" "));
     }
-    // Or it would have counted nothing.
+    // Checks that the random requests covered these outcomes, since the test would otherwise prove nothing.
     assert!(
         ["answered.look", "deferred.buy", "errored.look", "errored.buy"]
             .iter()
-            .all(|name| told.contains(name)),
-        "{told}"
+            .all(|name| outcomes.contains(name)),
+        "{outcomes}"
     );
 }
 
@@ -275,68 +283,70 @@
 fn unusable_admin_address_fails_start_in_one_line() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let taken = taken.local_addr().unwrap().to_string();
-    let mut said = String::new();
+    let mut report = String::new();
     for control in [json!("here"), json!(taken), json!(5)] {
         let mut config = config(&[], closing_service(), 256);
         config["control"] = control;
-        let ended = spawn_balancer(&config.to_string(), None).0.wait_with_output().unwrap();
-        let line = String::from_utf8(ended.stderr).unwrap().replace(&taken, "TAKEN");
-        let line = line.rsplit_once(".json: ").map_or(line.trim_end(), |(_, fault)| fault.trim_end());
-        said += &format!("{:?} {line}\n", ended.status.code());
+        let output = spawn_balancer(&config.to_string(), None).0.wait_with_output().unwrap();
+        let line = String::from_utf8(output.stderr).unwrap().replace(&taken, "TAKEN");
+        let line = line.rsplit_once(".json: ").map_or(line.trim_end(), |(_, error)| error.trim_end());
+        report += &format!("{:?} {line}\n", output.status.code());
     }
     let mut same = config(&[], closing_service(), 256);
     (same["listen"], same["control"]) = (json!("127.0.0.1:1"), json!("127.0.0.1:1"));
-    let ended = spawn_balancer(&same.to_string(), None).0.wait_with_output().unwrap();
-    said += &format!("{:?} {}", ended.status.code(), String::from_utf8(ended.stderr).unwrap());
+    let output = spawn_balancer(&same.to_string(), None).0.wait_with_output().unwrap();
+    report += &format!("{:?} {}", output.status.code(), String::from_utf8(output.stderr).unwrap());
     expect![[r#"
         Some(1) invalid socket address syntax at line 1 column 17
         Some(1) doorproxy: control TAKEN: Address already in use (os error 98)
         Some(1) invalid type: integer `5`, expected socket address at line 1 column 12
         Some(1) doorproxy: control: 127.0.0.1:1 is also the listen address; expected another address
     "#]]
-    .assert_eq(&said);
+    .assert_eq(&report);
 }
 
-/// Guards against calls that wait for the tasks that serve requests: here nothing ever runs these.
+/// Guards against admin calls that wait for the tasks that serve requests: in this test those tasks never
+/// run.
 #[test]
 fn admin_calls_are_answered_while_data_path_is_stalled() {
     let trace = Trace::default();
-    let given =
+    let parsed_config =
         Arc::new(config::parse(&config(&two_endpoints(&trace), closing_service(), 256).to_string()).unwrap());
-    let world = SystemRuntime::start();
-    let parts = assembly::assemble(&world, &given);
+    let system_runtime = SystemRuntime::start();
+    let parts = assembly::assemble(&system_runtime, &parsed_config);
     let folder = std::env::temp_dir().join(format!("doorproxy-busy-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let operators = parts.admin_api(&world, Arc::new(FileStore::for_balancer(&folder, &given.name)));
+    let admin_api =
+        parts.admin_api(&system_runtime, Arc::new(FileStore::for_balancer(&folder, &parsed_config.name)));
     discovery::apply_list(
-        &world,
+        &system_runtime,
         &mut parts.discovery.lock().unwrap(),
         &parts.dispatcher,
         &parts.upstream_client,
-        &given.known_endpoints,
+        &parsed_config.known_endpoints,
     );
-    let (listens, listening) = std::sync::mpsc::channel();
+    let (address_sender, address_receiver) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         runtime.block_on(async move {
-            let listener = world.listen("127.0.0.1:0".parse().unwrap(), 1 << 16, 8).unwrap();
-            listens.send(listener.local_addr().unwrap()).unwrap();
-            admin::serve(listener, operators).await;
+            let listener = system_runtime.listen("127.0.0.1:0".parse().unwrap(), 1 << 16, 8).unwrap();
+            address_sender.send(listener.local_addr().unwrap()).unwrap();
+            admin::serve(listener, admin_api).await;
         });
     });
-    let at = listening.recv().unwrap();
-    let told = Trace::default();
-    told.record(&format!("ready: {}", status(&get(at, "/_ready"))));
-    told.record(&format!("out: {}", post(at, "/_upstreams/detach", "a")));
-    told.record(&format!("avoided: {}", metrics(at)["cluster_unhealthy"]));
-    told.record(&format!("back: {}", post(at, "/_upstreams/attach", "a")));
-    told.record(&format!("avoided: {}", metrics(at)["cluster_unhealthy"]));
+    let admin = address_receiver.recv().unwrap();
+    let report = Trace::default();
+    report.record(&format!("ready: {}", status(&get(admin, "/_ready"))));
+    report.record(&format!("detach: {}", post(admin, "/_upstreams/detach", "a")));
+    report.record(&format!("unhealthy: {}", metrics(admin)["cluster_unhealthy"]));
+    report.record(&format!("attach: {}", post(admin, "/_upstreams/attach", "a")));
+    report.record(&format!("unhealthy: {}", metrics(admin)["cluster_unhealthy"]));
     std::fs::remove_dir_all(folder).unwrap();
-    told.assert_matches(expect![[r#"
+    report.assert_matches(expect![[r#"
         ready: 503
-        out: 200
-        avoided: 1
-        back: 200
-        avoided: 0
+        detach: 200
+        unhealthy: 1
+        attach: 200
+        unhealthy: 0
     "#]]);
 }
--- a/crates/cli/tests/sidecar.rs
+++ b/crates/cli/tests/sidecar.rs
@@ -1,5 +1,5 @@
-//! The program as a sidecar before stand-in endpoints on ports of the system's choice: what an application gets, and what
-//! endpoints saw.
+//! Runs the program as a sidecar in front of test endpoints on free ports, and checks which answers an
+//! application gets and which requests the endpoints receive.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,16 +13,23 @@
 
 use expect_test::expect;
 
+/// Longer than any wait in these tests takes; reaching it fails the test.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// The requests that the endpoints received, and the flag that releases slow ones.
 #[derive(Clone, Default)]
-struct Trace(Arc<Mutex<Vec<String>>>, Arc<AtomicBool>);
+struct Trace {
+    requests: Arc<Mutex<Vec<String>>>,
+    slow_released: Arc<AtomicBool>,
+}
 
 impl Trace {
     fn take(&self) -> String {
-        std::mem::take(&mut *self.0.lock().unwrap()).concat()
+        std::mem::take(&mut *self.requests.lock().unwrap()).concat()
     }
 }
 
-/// The head and the body that it announces; none where the connection ends.
+/// Reads a head and a body of its `Content-Length`. Returns `None` if the connection ends first.
 fn read_message(reader: &mut impl BufRead) -> Option<(String, String)> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -38,8 +45,8 @@
     Some((head, String::from_utf8_lossy(&body).into_owned()))
 }
 
-/// Answers as the last segment of the path asks.
-fn test_server(trace: &Trace) -> SocketAddr {
+/// Starts an endpoint that chooses its answer by the last segment of the path.
+fn test_endpoint(trace: &Trace) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let trace = trace.clone();
@@ -53,16 +60,20 @@
                     let start = head.lines().next().unwrap().to_string();
                     let via =
                         head.lines().filter(|line| line.to_ascii_lowercase().starts_with("via:")).count();
-                    // Which of the endpoints it is, is a matter of chance.
-                    trace.0.lock().unwrap().push(format!("  a server got {start} {body:?}, {via} via\n"));
-                    let way = start.split(' ').nth(1).unwrap().rsplit('/').next().unwrap().to_string();
-                    if way == "slow" {
-                        // Until the test lets it go on.
-                        while !trace.1.load(Ordering::Relaxed) {
+                    // The line does not name the endpoint, since the balancer picks one at random.
+                    trace
+                        .requests
+                        .lock()
+                        .unwrap()
+                        .push(format!("  endpoint received {start} {body:?}, {via} via\n"));
+                    let action = start.split(' ').nth(1).unwrap().rsplit('/').next().unwrap().to_string();
+                    if action == "slow" {
+                        // Waits until the test releases it.
+                        while !trace.slow_released.load(Ordering::Relaxed) {
                             thread::sleep(Duration::from_millis(5));
                         }
                     }
-                    let answer = match way.as_str() {
+                    let answer = match action.as_str() {
                         "break" => return,
                         "gone" => "HTTP/1.1 404 Gone\r\nContent-Length: 4\r\n\r\nnone".to_string(),
                         "made" => "HTTP/1.1 201 Made\r\nContent-Length: 0\r\nX-Is: new\r\n\r\n".to_string(),
@@ -84,14 +95,18 @@
     address
 }
 
-/// The process, its file, and what it logs.
-struct Sidecar(Child, PathBuf, Receiver<String>);
+/// A sidecar process that is killed when the test ends, even if it fails.
+struct Sidecar {
+    process: Child,
+    config_path: PathBuf,
+    log: Receiver<String>,
+}
 
 impl Drop for Sidecar {
     fn drop(&mut self) {
-        let _ = self.0.kill();
-        let _ = self.0.wait();
-        let _ = std::fs::remove_file(&self.1);
+        let _ = self.process.kill();
+        let _ = self.process.wait();
+        let _ = std::fs::remove_file(&self.config_path);
     }
 }
 
@@ -108,10 +123,10 @@
     let line = lines.next().unwrap().unwrap();
     let address =
         line.strip_prefix("server: serving on ").unwrap_or_else(|| panic!("{line}")).parse().unwrap();
-    let (log, of_log) = channel();
-    // Read on, or it would write into nothing.
-    thread::spawn(move || lines.map_while(Result::ok).for_each(|line| drop(log.send(line))));
-    (Sidecar(child, path, of_log), address)
+    let (log_sender, log) = channel();
+    // Keeps reading the log, since the sidecar would otherwise write to a closed pipe.
+    thread::spawn(move || lines.map_while(Result::ok).for_each(|line| drop(log_sender.send(line))));
+    (Sidecar { process: child, config_path: path, log }, address)
 }
 
 fn request_status_line(address: SocketAddr, request: &str) -> String {
@@ -152,39 +167,45 @@
 }
 
 fn signal(sidecar: &Sidecar, name: &str) {
-    let kill = format!("kill -{name} {}", sidecar.0.id());
+    let kill = format!("kill -{name} {}", sidecar.process.id());
     assert!(Command::new("sh").arg("-c").arg(kill).status().unwrap().success());
 }
 
-/// Guards against a request that is lost with the socket on which it waits to be accepted: the last look finds no connection,
-/// and the process ends.
+/// Guards against losing a connection that is still in the accept queue when the process decides that no
+/// connection is left and exits.
 #[test]
 fn connection_in_backlog_at_last_accept_is_served() {
     let trace = Trace::default();
-    let (mut sidecar, address) = start(&config([test_server(&trace), test_server(&trace)]), "backlog");
+    let (mut sidecar, address) = start(&config([test_endpoint(&trace), test_endpoint(&trace)]), "backlog");
     signal(&sidecar, "TERM");
-    let asked = Instant::now();
-    while sidecar.2.recv().unwrap() != "server: shutdown requested" {}
-    // Nothing but the time keeps it, and it stands still until that is over.
+    let signalled = Instant::now();
+    while sidecar.log.recv().unwrap() != "server: shutdown requested" {}
+    // With no connection open, only the shutdown delay keeps the process running; it is stopped until that
+    // has passed.
     signal(&sidecar, "STOP");
-    let waits =
+    let pending =
         thread::spawn(move || request_status_line(address, "GET /quotes/fine HTTP/1.1\r\nHost: x\r\n\r\n"));
-    thread::sleep(Duration::from_millis(1500).saturating_sub(asked.elapsed()));
+    thread::sleep(Duration::from_millis(1500).saturating_sub(signalled.elapsed()));
     signal(&sidecar, "CONT");
-    let told = format!("{}\n{}{:?}\n", waits.join().unwrap(), trace.take(), sidecar.0.wait().unwrap().code());
+    let report = format!(
+        "{}\n{}{:?}\n",
+        pending.join().unwrap(),
+        trace.take(),
+        sidecar.process.wait().unwrap().code()
+    );
     expect![[r#"
         HTTP/1.1 200 OK
-          a server got GET /quotes/fine HTTP/1.1 "", 1 via
+          endpoint received GET /quotes/fine HTTP/1.1 "", 1 via
         Some(0)
     "#]]
-    .assert_eq(&told);
+    .assert_eq(&report);
 }
 
 #[test]
 fn requests_follow_the_configured_routes() {
     let trace = Trace::default();
-    let (_sidecar, address) = start(&config([test_server(&trace), test_server(&trace)]), "routes");
-    let mut told = String::new();
+    let (_sidecar, address) = start(&config([test_endpoint(&trace), test_endpoint(&trace)]), "routes");
+    let mut report = String::new();
     for request in [
         "GET /quotes/fine HTTP/1.1\r\nHost: x\r\n\r\n",
         "GET /quotes/gone HTTP/1.1\r\nHost: x\r\n\r\n",
@@ -202,19 +223,19 @@
         "CONNECT quotes:443 HTTP/1.1\r\nHost: quotes:443\r\n\r\n",
     ] {
         let answer = request_status_line(address, request);
-        told += &format!("{}: {answer}\n{}", request.lines().next().unwrap(), trace.take());
+        report += &format!("{}: {answer}\n{}", request.lines().next().unwrap(), trace.take());
     }
     expect![[r#"
         GET /quotes/fine HTTP/1.1: HTTP/1.1 200 OK
-          a server got GET /quotes/fine HTTP/1.1 "", 1 via
+          endpoint received GET /quotes/fine HTTP/1.1 "", 1 via
         GET /quotes/gone HTTP/1.1: HTTP/1.1 404 Gone
-          a server got GET /quotes/gone HTTP/1.1 "", 1 via
+          endpoint received GET /quotes/gone HTTP/1.1 "", 1 via
         HEAD /quotes/fine HTTP/1.1: HTTP/1.1 200 OK
-          a server got HEAD /quotes/fine HTTP/1.1 "", 1 via
+          endpoint received HEAD /quotes/fine HTTP/1.1 "", 1 via
         POST /report/made HTTP/1.1: HTTP/1.1 201 Made
-          a server got POST /report/made HTTP/1.1 "hi", 1 via
+          endpoint received POST /report/made HTTP/1.1 "hi", 1 via
         POST /report/empty HTTP/1.1: HTTP/1.1 204 Empty
-          a server got POST /report/empty HTTP/1.1 "hi", 1 via
+          endpoint received POST /report/empty HTTP/1.1 "hi", 1 via
         POST /quotes/fine HTTP/1.1: HTTP/1.1 404 Not Found
         GET /Report/fine HTTP/1.1: HTTP/1.1 400 Bad Request
         GET /report%2ffine HTTP/1.1: HTTP/1.1 400 Bad Request
@@ -225,49 +246,52 @@
         POST /report/fine HTTP/1.1: HTTP/1.1 413 Payload Too Large
         CONNECT quotes:443 HTTP/1.1: HTTP/1.1 400 Bad Request
     "#]]
-    .assert_eq(&told);
+    .assert_eq(&report);
 }
 
-/// An endpoint that breaks off after a request has come whole may have run it.
+/// Guards against running an order twice: an endpoint that drops the connection after a complete request may
+/// have run it.
 #[test]
-fn reads_are_retried_and_orders_never() {
+fn started_reads_are_retried_but_orders_are_not() {
     let trace = Trace::default();
-    let (_sidecar, address) = start(&config([test_server(&trace), test_server(&trace)]), "repeats");
-    let mut told = String::new();
-    // First, or the endpoints would be doubted already.
+    let (_sidecar, address) = start(&config([test_endpoint(&trace), test_endpoint(&trace)]), "repeats");
+    let mut report = String::new();
+    // The order goes first, while both endpoints still count as healthy.
     for request in ["POST /report/break", "GET /quotes/break"] {
         let answer = request_status_line(
             address,
             &format!("{request} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"),
         );
-        let pushes = trace.take().lines().count();
-        told +=
-            &format!("{request}: {answer}, {}\n", if pushes > 1 { "pushed again" } else { "pushed once" });
+        let attempts = trace.take().lines().count();
+        report += &format!("{request}: {answer}, {}\n", if attempts > 1 { "retried" } else { "sent once" });
     }
     expect![[r#"
-        POST /report/break: HTTP/1.1 502 Bad Gateway, pushed once
-        GET /quotes/break: HTTP/1.1 503 Service Unavailable, pushed again
+        POST /report/break: HTTP/1.1 502 Bad Gateway, sent once
+        GET /quotes/break: HTTP/1.1 503 Service Unavailable, retried
     "#]]
-    .assert_eq(&told);
+    .assert_eq(&report);
 }
 
-/// Longer than anything here takes: only a test that has failed waits for it.
-const TEST_TIMEOUT: Duration = Duration::from_secs(20);
-
 #[test]
 fn reload_applies_to_new_requests_only() {
     let trace = Trace::default();
-    let old = config([test_server(&trace), test_server(&trace)]);
+    let old = config([test_endpoint(&trace), test_endpoint(&trace)]);
     let (sidecar, address) = start(&old, "reload");
-    let mut told = String::new();
-    let mut hang_up = |config: &str| {
-        std::fs::write(&sidecar.1, config).unwrap();
-        assert!(Command::new("kill").args(["-HUP", &sidecar.0.id().to_string()]).status().unwrap().success());
-        told += &format!("{}\n", sidecar.2.recv_timeout(TEST_TIMEOUT).unwrap());
+    let mut report = String::new();
+    let mut reload = |config: &str| {
+        std::fs::write(&sidecar.config_path, config).unwrap();
+        assert!(
+            Command::new("kill")
+                .args(["-HUP", &sidecar.process.id().to_string()])
+                .status()
+                .unwrap()
+                .success()
+        );
+        report += &format!("{}\n", sidecar.log.recv_timeout(TEST_TIMEOUT).unwrap());
     };
     let slow =
         thread::spawn(move || request_status_line(address, "GET /quotes/slow HTTP/1.1\r\nHost: x\r\n\r\n"));
-    while trace.0.lock().unwrap().is_empty() {
+    while trace.requests.lock().unwrap().is_empty() {
         thread::sleep(Duration::from_millis(5));
     }
     // The class and the route of the request in flight are gone, and its pool has another name.
@@ -276,25 +300,25 @@
         .replace("\"read\"", "\"look\"")
         .replace("/**\"\nmethods", "/new/**\"\nmethods");
     let new = new.replace("pool.main", "pool.other").replace("pool = \"main\"", "pool = \"other\"");
-    hang_up(&new);
-    hang_up(&new.replace("methods = [\"GET\", \"HEAD\"]\n", ""));
-    hang_up(&new.replace("127.0.0.1:0", "127.0.0.1:1"));
+    reload(&new);
+    reload(&new.replace("methods = [\"GET\", \"HEAD\"]\n", ""));
+    reload(&new.replace("127.0.0.1:0", "127.0.0.1:1"));
     for path in ["/new/fine", "/quotes/fine"] {
-        told += &format!(
+        report += &format!(
             "{path}: {}\n",
             request_status_line(address, &format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n"))
         );
     }
-    trace.1.store(true, Ordering::Relaxed);
-    told += &format!("the op in hand: {}\n", slow.join().unwrap());
+    trace.slow_released.store(true, Ordering::Relaxed);
+    report += &format!("request in flight: {}\n", slow.join().unwrap());
     expect![[r#"
         config: reloaded
         configuration not reloaded: order-retriable: this route names no methods, so it takes POST and others that are not safe to repeat, but its category "look" may run again (always); name only safe methods, take a category that repeats never, or say in may_repeat_unsafe why it does no harm
         config: not reloaded: listen and limits.sockets can't change in a reload; restart the sidecar
         /new/fine: HTTP/1.1 200 OK
         /quotes/fine: HTTP/1.1 404 Not Found
-        the op in hand: HTTP/1.1 200 OK
-    "#]].assert_eq(&told);
+        request in flight: HTTP/1.1 200 OK
+    "#]].assert_eq(&report);
 }
 
 #[test]
@@ -305,22 +329,22 @@
         config(["127.0.0.1:1".parse().unwrap(); 2]).replace("methods = [\"GET\", \"HEAD\"]\n", ""),
     )
     .unwrap();
-    let told = ["sidecar", "check", "explain"].map(|verb| {
+    let reports = ["sidecar", "check", "explain"].map(|command_name| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_doorproxy"));
-        match verb {
-            "sidecar" => command.args([verb, "--config"]).arg(&path),
-            "explain" => command.arg(verb).arg(&path).args(["--url", "/"]),
-            _ => command.arg(verb).arg(&path),
+        match command_name {
+            "sidecar" => command.args([command_name, "--config"]).arg(&path),
+            "explain" => command.arg(command_name).arg(&path).args(["--url", "/"]),
+            _ => command.arg(command_name).arg(&path),
         };
         let output = command.output().unwrap();
-        let said = String::from_utf8(output.stdout).unwrap();
-        let codes: Vec<&str> = said
+        let text = String::from_utf8(output.stdout).unwrap();
+        let codes: Vec<&str> = text
             .lines()
             .filter_map(|line| line.split_once(':'))
             .map(|(code, _)| code)
             .filter(|code| code.starts_with("error"))
             .collect();
-        format!("{verb}: exit {}, {}\n", output.status.code().unwrap(), codes.join(" "))
+        format!("{command_name}: exit {}, {}\n", output.status.code().unwrap(), codes.join(" "))
     });
     std::fs::remove_file(&path).unwrap();
     expect![[r#"
@@ -328,5 +352,5 @@
         check: exit 1, error[duplicate-name] error[order-retriable]
         explain: exit 2, 
     "#]]
-    .assert_eq(&told.concat());
+    .assert_eq(&reports.concat());
 }
