--- a/crates/cli/tests/gone.rs
+++ b/crates/cli/tests/gone.rs
@@ -222,8 +222,8 @@
     requests_from_before_resume_are_rejected(false);
 }
 
-/// Guards against the same on connections that are still in the accept queue when the process resumes:
-/// accepting them takes one more turn of its event loop.
+/// Guards against a later arrival time for requests on connections that are still in the accept queue when
+/// the process resumes: accepting them takes one more turn of its event loop.
 #[test]
 fn connections_queued_before_resume_expire() {
     requests_from_before_resume_are_rejected(true);
--- a/crates/cli/tests/operators.rs
+++ b/crates/cli/tests/operators.rs
@@ -212,8 +212,8 @@
 }
 
 fn socket_count(balancer: &Balancer) -> usize {
-    let held = std::fs::read_dir(format!("/proc/{}/fd", balancer.process.id())).unwrap();
-    let links = held.flatten().filter_map(|entry| std::fs::read_link(entry.path()).ok());
+    let descriptors = std::fs::read_dir(format!("/proc/{}/fd", balancer.process.id())).unwrap();
+    let links = descriptors.flatten().filter_map(|entry| std::fs::read_link(entry.path()).ok());
     links.filter(|link| link.to_string_lossy().starts_with("socket:")).count()
 }
 
@@ -227,8 +227,8 @@
     let idle: Vec<TcpStream> = (0..60).map(|_| TcpStream::connect(admin).unwrap()).collect();
     // This call comes last in the accept queue, so its answer shows that all the others have been accepted.
     assert_eq!(status(&get(admin, "/_ready")), "200");
-    let held = socket_count(&balancer) - before;
-    assert!(held <= 12, "{held} admin connections are open");
+    let open = socket_count(&balancer) - before;
+    assert!(open <= 12, "{open} admin connections are open");
     drop(idle);
 }
 
--- a/crates/cli/tests/races.rs
+++ b/crates/cli/tests/races.rs
@@ -1,6 +1,6 @@
-//! What comes between two lines: news, a client's leaving, a signal or bytes in the very moment in which the balancer does
-//! something else. Each crossing is forced: a connection that can't come up, a service that holds its answer, a process that
-//! is stopped. Verdicts come from what clients and endpoints saw.
+//! Races: an endpoint update, a disconnect, a signal or bytes arrive while the balancer is in the middle of
+//! something else. Each test forces its race with a connection that cannot be established, a discovery
+//! service that delays its answer, or a process that is stopped, and checks what clients and endpoints saw.
 
 mod common;
 
@@ -15,84 +15,95 @@
 use expect_test::expect;
 use serde_json::{Value, json};
 
-/// Guards against an endpoint that goes on with work for a client that has long gone: the time that is told was reckoned as
-/// the attempt was decided on, and the connection came up late.
+/// Guards against an endpoint that keeps working after the client's deadline: the remaining time was computed
+/// when the attempt was chosen, but the connection was established later.
 #[test]
 fn attempt_carries_time_left_at_its_start() {
-    let shut = BlockedEndpoint::new();
+    let blocked = BlockedEndpoint::new();
     let balancer = start_from(
-        &config_with_long_connect_timeout(&[endpoint_entry("a", shut.address, "active")], closing_service())
-            .to_string(),
+        &config_with_long_connect_timeout(
+            &[endpoint_entry("a", blocked.address, "active")],
+            closing_service(),
+        )
+        .to_string(),
     );
     let mut client = Client::new(&balancer);
     client.get("/", "1");
     let sent = Instant::now();
-    shut.wait_for_connect();
+    blocked.wait_for_connect();
     let waited = Instant::now();
-    // It has waited at least until here, and the system tries again after a second.
-    let op = shut.accept_first().expect("an op");
+    // The attempt has waited at least until here; the system sends its next SYN a second after the first.
+    let request = blocked.accept_first().expect("a request");
     let (at_most, at_least) = (sent.elapsed(), waited - sent);
-    let told: u128 = op.field("req-deadline-ms").unwrap().parse().unwrap();
-    assert!(at_most > Duration::from_millis(200), "it was not held back: {at_most:?}");
+    let received_ms: u128 = request.field("req-deadline-ms").unwrap().parse().unwrap();
+    assert!(at_most > Duration::from_millis(200), "the attempt was not delayed: {at_most:?}");
     assert!(at_least <= at_most);
-    // What it takes to read it is ours.
-    let left = 30_000 - at_most.as_millis();
-    assert!(told <= left + 100, "{told} ms were told, {left} ms were left");
+    // The margin of 100 ms covers the time that this test takes to read the request.
+    let remaining_ms = 30_000 - at_most.as_millis();
+    assert!(
+        received_ms <= remaining_ms + 100,
+        "{received_ms} ms in the request, but {remaining_ms} ms remaining"
+    );
 }
 
-/// Guards against an attempt that was decided on before the news, and begins after them.
+/// Guards against an attempt that was chosen before an update marked the endpoint as draining, and starts
+/// after it.
 #[test]
 fn no_attempt_starts_at_endpoint_draining_since_connect() {
     let trace = Trace::default();
-    let (shut, b) = (BlockedEndpoint::new(), test_endpoint("B", &trace));
-    let (news, a) = (Trace::default(), shut.address);
-    let held = news.clone();
-    // A watch that is held back for too long is given up, and the next one is told instead.
+    let (blocked, b) = (BlockedEndpoint::new(), test_endpoint("B", &trace));
+    let (update_signal, a) = (Trace::default(), blocked.address);
+    let discovery_signal = update_signal.clone();
+    // The balancer abandons a watch that gets no answer for too long; the update then goes to the next watch.
     let discovery = scripted_discovery(&Trace::default(), move |_| {
-        held.wait_for("tell");
+        discovery_signal.wait_for("send update");
         let changes = [endpoint_entry("a", a, "leaving"), endpoint_entry("b", b, "active")];
         Some(json!({"version": 2, "full": false, "servers": changes}))
     });
     let balancer = start_from(
-        &config_with_long_connect_timeout(&[endpoint_entry("a", shut.address, "active")], discovery)
+        &config_with_long_connect_timeout(&[endpoint_entry("a", blocked.address, "active")], discovery)
             .to_string(),
     );
     let mut client = Client::new(&balancer);
     client.post("/", "1");
-    shut.wait_for_connect();
-    news.record("tell");
+    blocked.wait_for_connect();
+    update_signal.record("send update");
     balancer.log.wait_until("A drains", |log| log.contains(", draining"));
-    let begun = shut.accept_first();
+    let started = blocked.accept_first();
     client.record_answer(&trace);
-    assert!(begun.is_none(), "{}", begun.unwrap().head);
+    assert!(started.is_none(), "{}", started.unwrap().head);
     trace.assert_matches(expect![[r#"
         B: POST / HTTP/1.1 id 1 body "one"
         client: 200 "well", x-kept as it came
     "#]]);
 }
 
-/// Guards against an attempt for nobody, where attempts that have begun may not be called off.
+/// Guards against an attempt for a client that has disconnected, where the settings do not allow cancelling
+/// attempts that have started.
 #[test]
 fn no_attempt_starts_for_disconnected_client() {
-    let shut = BlockedEndpoint::new();
-    let mut config =
-        config_with_long_connect_timeout(&[endpoint_entry("a", shut.address, "active")], closing_service());
+    let blocked = BlockedEndpoint::new();
+    let mut config = config_with_long_connect_timeout(
+        &[endpoint_entry("a", blocked.address, "active")],
+        closing_service(),
+    );
     config["settings"]["limits"]["cancelling"] = json!(false);
     let balancer = start_from(&config.to_string());
     let mut client = Client::new(&balancer);
     client.post("/", "1");
-    shut.wait_for_connect();
+    blocked.wait_for_connect();
     drop(client);
-    // Once this is answered, the balancer has seen the other one go: it read of both in one turn or earlier.
+    // An answer to this probe shows that the balancer has seen the disconnect, which it read in the same turn
+    // of its event loop or before.
     let mut next = Client::new(&balancer);
     let probe = next.send("GET /-/ready HTTP/1.1\r\nHost: n0\r\n\r\n");
     read_message(&mut probe.0).expect("an answer");
-    let begun = shut.accept_first();
-    assert!(begun.is_none(), "{}", begun.unwrap().head);
+    let started = blocked.accept_first();
+    assert!(started.is_none(), "{}", started.unwrap().head);
 }
 
-/// Guards against requests for a client that has gone, and attempts that go on for it: its end lies behind the requests that it sent in
-/// the same go.
+/// Guards against attempts that start or continue for a client that has disconnected: the end of the
+/// connection comes after the requests that the client pipelined.
 #[test]
 fn disconnect_behind_pipeline_ends_all_its_requests() {
     let trace = Trace::default();
@@ -102,7 +113,7 @@
     trace.wait_for("A: POST /hang HTTP/1.1 id 1 body \"one\"");
     drop(client);
     trace.wait_for("A: connection closed: true");
-    // Whatever was to come of the others would have come before this.
+    // An attempt for one of the pipelined requests would have reached the endpoint before this request.
     Client::new(&balancer).get("/", "4").record_answer(&trace);
     trace.assert_matches(expect![[r#"
         A: POST /hang HTTP/1.1 id 1 body "one"
@@ -112,20 +123,20 @@
     "#]]);
 }
 
-/// The same while the answer passes: the rest of it is nobody's.
+/// Guards against attempts that start or continue for a client that disconnects while it receives a response.
 #[test]
 fn disconnect_during_response_ends_pipelined_requests() {
     let trace = Trace::default();
-    let of_upstream = trace.clone();
+    let endpoint_trace = trace.clone();
     let a = listen(move |stream| {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         let mut writer = stream;
-        let Some(op) = read_message(&mut reader) else { return };
-        of_upstream.record(&format!("A: {}", op.start_line()));
-        // As long as any, and its end never comes.
+        let Some(request) = read_message(&mut reader) else { return };
+        endpoint_trace.record(&format!("A: {}", request.start_line()));
+        // A long response whose end is never sent.
         writer.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n").unwrap();
         writer.write_all(&[b'x'; 100_000]).unwrap();
-        of_upstream
+        endpoint_trace
             .record(&format!("A: connection closed: {}", reader.read(&mut [0]).is_ok_and(|read| read == 0)));
     });
     let balancer = start(&[endpoint_entry("a", a, "active")]);
@@ -140,7 +151,8 @@
     "#]]);
 }
 
-/// Requests in one go are answered in their order, also such whose bodies lie behind all that is read ahead.
+/// Guards against answers out of order for pipelined requests, even if a body is longer than the balancer
+/// reads ahead.
 #[test]
 fn pipelined_requests_are_answered_in_order() {
     let trace = Trace::default();
@@ -164,9 +176,10 @@
     "#]]);
 }
 
-// The end of a process.
+// Shutdown.
 
-/// With so little to wait for that a test has it over in a moment: requests of 2 s, and a connection that may take longer.
+/// A configuration with which a balancer shuts down quickly: requests time out after 2 s, although connecting
+/// may take longer.
 fn config_with_short_timeouts(known: &[Value]) -> Value {
     let mut config = config_with_long_connect_timeout(known, closing_service());
     for category in config["settings"]["categories"].as_array_mut().unwrap() {
@@ -175,8 +188,8 @@
     config
 }
 
-/// Guards against a request that is lost with the socket on which it waits to be accepted: the last look finds no connection, and
-/// the process ends.
+/// Guards against losing a connection that is still in the accept queue when the process decides that no
+/// connection is left and exits.
 #[test]
 fn connection_in_backlog_at_last_accept_is_served() {
     let trace = Trace::default();
@@ -184,13 +197,14 @@
         &config_with_short_timeouts(&[endpoint_entry("a", test_endpoint("A", &trace), "active")]).to_string(),
     );
     balancer.signal("TERM");
-    let asked = Instant::now();
+    let signalled = Instant::now();
     balancer.log.wait_for("server: shutdown requested");
-    // It has no connection, and nothing but the time keeps it. It stands still until that is over.
+    // With no connection open, only the shutdown delay keeps the process running; it is stopped until that
+    // has passed.
     balancer.signal("STOP");
     let mut client = Client::new(&balancer);
     client.post("/", "1");
-    thread::sleep((asked + Duration::from_millis(1600)).saturating_duration_since(Instant::now()));
+    thread::sleep((signalled + Duration::from_millis(1600)).saturating_duration_since(Instant::now()));
     balancer.signal("CONT");
     client.record_answer(&trace);
     trace.record(&format!("{:?}", balancer.process.wait().unwrap().code()));
@@ -201,7 +215,8 @@
     "#]]);
 }
 
-/// The same on connections that rest, or never had a request: it came before they were let go of.
+/// Guards against losing a request that arrives on an idle or unused connection before the balancer closes
+/// it.
 #[test]
 fn request_on_idle_connection_before_its_close_is_answered() {
     let trace = Trace::default();
@@ -213,30 +228,32 @@
         assert!(read_message(&mut client.get("/", "1").0).is_some());
     }
     balancer.signal("TERM");
-    let asked = Instant::now();
+    let signalled = Instant::now();
     balancer.log.wait_for("server: shutdown requested");
     balancer.signal("STOP");
     for (id, client) in clients.iter_mut().enumerate() {
         client.post("/", &format!("second-{id}"));
     }
-    thread::sleep((asked + Duration::from_millis(1600)).saturating_duration_since(Instant::now()));
+    thread::sleep((signalled + Duration::from_millis(1600)).saturating_duration_since(Instant::now()));
     balancer.signal("CONT");
     let answered = clients.iter_mut().filter_map(|client| read_message(&mut client.0)).count();
     assert_eq!((answered, balancer.process.wait().unwrap().code()), (100, Some(0)));
 }
 
-/// Guards against "nothing is known of whether it ran" for what provably never did.
+/// Guards against a 502, which says that the request may have run, for a request that provably never started.
 #[test]
 fn unstarted_requests_are_rejected_at_shutdown() {
     let trace = Trace::default();
-    let shut = BlockedEndpoint::new();
-    // The request itself has more time than the process.
-    let config =
-        config_with_long_connect_timeout(&[endpoint_entry("a", shut.address, "active")], closing_service());
+    let blocked = BlockedEndpoint::new();
+    // The deadline of the request is later than the end of the process.
+    let config = config_with_long_connect_timeout(
+        &[endpoint_entry("a", blocked.address, "active")],
+        closing_service(),
+    );
     let mut balancer = start_from(&config.to_string());
     let mut client = Client::new(&balancer);
     client.post("/", "1");
-    shut.wait_for_connect();
+    blocked.wait_for_connect();
     balancer.signal("TERM");
     client.record_answer(&trace);
     trace.record(&format!("{:?}", balancer.process.wait().unwrap().code()));
@@ -246,51 +263,58 @@
     "#]]);
 }
 
-/// Guards against a request that is cut off half read: its connection was told to close before it began to come.
+/// Guards against a connection that is closed in the middle of a request: the balancer decided to close it
+/// before the first byte arrived.
 #[test]
 fn request_racing_connection_close_is_answered_or_unread() {
-    // Those that rest after a request, and those that never had one.
-    for has_rested in [true, false] {
+    // Covers connections that are idle after a request, and connections that never had one.
+    for had_request in [true, false] {
         let trace = Trace::default();
         let balancer = start_from(
             &config_with_short_timeouts(&[endpoint_entry("a", test_endpoint("A", &trace), "active")])
                 .to_string(),
         );
         let mut clients: Vec<Client> = (0..120).map(|_| Client::new(&balancer)).collect();
-        if has_rested {
+        if had_request {
             for (id, client) in clients.iter_mut().enumerate() {
                 assert!(read_message(&mut client.get("/", &format!("first-{id}")).0).is_some());
             }
         }
         balancer.signal("TERM");
         balancer.log.wait_for("server: shutdown requested");
-        let asked = Instant::now();
-        // The connections are let go of at two thirds of 2 s. Around it one request begins every 2 ms, and goes on 150 ms later.
-        let converse = |place: usize, client: &mut Client| {
-            let begins = asked + Duration::from_millis(1250 + 2 * place as u64);
-            let op = format!("GET / HTTP/1.1\r\n{}\r\n", request_headers(&format!("second-{place}"), "look"));
-            let (head, rest) = op.split_at(40);
-            thread::sleep(begins.saturating_duration_since(Instant::now()));
+        let signalled = Instant::now();
+        // The balancer closes the connections after two thirds of 2 s. Around that time one request starts
+        // every 2 ms, and its rest follows 150 ms later.
+        let run_client = |index: usize, client: &mut Client| {
+            let send_time = signalled + Duration::from_millis(1250 + 2 * index as u64);
+            let request =
+                format!("GET / HTTP/1.1\r\n{}\r\n", request_headers(&format!("second-{index}"), "look"));
+            let (head, rest) = request.split_at(40);
+            thread::sleep(send_time.saturating_duration_since(Instant::now()));
             let _ = client.0.get_mut().write_all(head.as_bytes());
-            // What crossed the end on its way was not read: a client sends it elsewhere.
-            let crossed = has_ended(client);
+            // A request that crosses the close is never read, so its client can safely send it elsewhere.
+            let closed_unread = has_ended(client);
             thread::sleep(Duration::from_millis(150));
             let _ = client.0.get_mut().write_all(rest.as_bytes());
-            crossed || read_message(&mut client.0).is_some()
+            closed_unread || read_message(&mut client.0).is_some()
         };
-        let were_well: Vec<bool> = thread::scope(|scope| {
+        let succeeded: Vec<bool> = thread::scope(|scope| {
             let tasks = clients.iter_mut().enumerate();
             let tasks: Vec<_> =
-                tasks.map(|(place, client)| scope.spawn(move || converse(place, client))).collect();
+                tasks.map(|(index, client)| scope.spawn(move || run_client(index, client))).collect();
             tasks.into_iter().map(|task| task.join().unwrap()).collect()
         });
-        // Between the balancer's last look at a connection and its end lie microseconds, and a request may begin in them.
-        let lost = were_well.iter().filter(|was_well| !**was_well).count();
-        assert!(lost <= 2, "{lost} of 120 were begun and never answered, rested {has_rested}: {were_well:?}");
+        // A request may start in the microseconds between the balancer's last check of a connection and its
+        // close.
+        let lost = succeeded.iter().filter(|success| !**success).count();
+        assert!(
+            lost <= 2,
+            "{lost} of 120 requests started but got no answer, had_request {had_request}: {succeeded:?}"
+        );
     }
 }
 
-/// The other side has ended its sending, and there is nothing to read.
+/// Returns whether the balancer has closed its side of the connection and no data is left to read.
 fn has_ended(client: &Client) -> bool {
     let stream = client.0.get_ref();
     stream.set_nonblocking(true).unwrap();
@@ -299,13 +323,13 @@
     has_ended
 }
 
-/// Guards against a second word that ends what the first one let finish.
+/// Guards against a second signal that ends requests which the first signal allowed to finish.
 #[test]
 fn signals_during_shutdown_are_ignored() {
     let trace = Trace::default();
     let mut balancer = start(&[endpoint_entry("a", test_endpoint("A", &trace), "active")]);
-    let mut held = Client::new(&balancer);
-    held.post("/slow", "1");
+    let mut pending = Client::new(&balancer);
+    pending.post("/slow", "1");
     trace.wait_for("A: POST /slow HTTP/1.1 id 1 body \"one\"");
     balancer.signal("TERM");
     balancer.log.wait_for("server: shutdown requested");
@@ -314,7 +338,7 @@
     }
     balancer.log.wait_for_prefix("configuration read again", 1);
     trace.record("go on");
-    held.record_answer(&trace);
+    pending.record_answer(&trace);
     trace.record(&format!("{:?}", balancer.process.wait().unwrap().code()));
     trace.assert_matches(expect![[r#"
         A: POST /slow HTTP/1.1 id 1 body "one"
@@ -324,40 +348,42 @@
     "#]]);
 }
 
-// What is told, and by whom.
+// Discovery, reload and stored state.
 
-/// Answers the calls for the list in their order, by number and start line; one that it is told nothing for hangs.
+/// A discovery service that answers each call by its number, and records its start line. A call for which
+/// `answer` returns `None` hangs.
 fn scripted_discovery(
-    asked: &Trace,
+    received_calls: &Trace,
     answer: impl Fn(u32) -> Option<Value> + Clone + Send + 'static,
 ) -> SocketAddr {
-    let (asked, calls) = (asked.clone(), Arc::new(Mutex::new(0)));
+    let (received_calls, calls) = (received_calls.clone(), Arc::new(Mutex::new(0)));
     discovery_service(move |call| {
         let number = {
             let mut calls = calls.lock().unwrap();
             *calls += 1;
             *calls
         };
-        asked.record(&format!("call {number}: {call}"));
+        received_calls.record(&format!("call {number}: {call}"));
         answer(number).map(|answer| answer.to_string())
     })
 }
 
-/// Guards against a service that hangs once and is not asked again in the time in which its news come to bind: a call that
-/// waits for nothing was given as long as a watch, which may be told to wait for minutes.
+/// Guards against updates that arrive too late after the discovery service has hung once: a call for a
+/// snapshot got the timeout of a watch, which may wait for minutes.
 #[test]
 fn hanging_snapshot_call_times_out_before_watch_wait() {
-    let (trace, asked) = (Trace::default(), Trace::default());
+    let (trace, received_calls) = (Trace::default(), Trace::default());
     let b = test_endpoint("B", &trace);
-    let discovery = scripted_discovery(&asked, move |call| {
+    let discovery = scripted_discovery(&received_calls, move |call| {
         (call == 2).then(|| endpoint_snapshot(&[endpoint_entry("b", b, "active")]))
     });
     let mut config = config(&[], discovery, 256);
     config["settings"]["obligations"]["ask_within"] = json!(600.0);
     let balancer = start_from(&config.to_string());
     let began = Instant::now();
-    asked.wait_for("call 2: GET /api/targets HTTP/1.1");
-    // 2.2 s and a pause of 0.6 s at most; a busy machine may take its time, but not until a watch would be given up.
+    received_calls.wait_for("call 2: GET /api/targets HTTP/1.1");
+    // The timeout is 2.2 s and the pause at most 0.6 s; the limit leaves room for a busy machine, but stays
+    // below the timeout of a watch.
     assert!(began.elapsed() < Duration::from_secs(10), "{:?}", began.elapsed());
     balancer.log.wait_for_prefix("discovery: endpoint ", 1);
     Client::new(&balancer).get("/", "1").record_answer(&trace);
@@ -367,21 +393,22 @@
     "#]]);
 }
 
-/// Guards against changes that are never heard: a service that has started anew counts versions from the beginning.
+/// Guards against missing all further updates from a discovery service that has restarted and counts its
+/// versions from the beginning.
 #[test]
 fn decreasing_discovery_version_forces_snapshot() {
-    let (trace, asked) = (Trace::default(), Trace::default());
+    let (trace, received_calls) = (Trace::default(), Trace::default());
     let (a, b) = (test_endpoint("A", &trace), test_endpoint("B", &trace));
-    let discovery = scripted_discovery(&asked, move |call| match call {
+    let discovery = scripted_discovery(&received_calls, move |call| match call {
         1 => Some(json!({"version": 41, "full": true, "servers": [endpoint_entry("a", a, "active")]})),
         2 => Some(json!({"version": 3, "full": false, "servers": []})),
         3 => Some(json!({"version": 3, "full": true, "servers": [endpoint_entry("b", b, "active")]})),
         _ => None,
     });
     let balancer = start_with(&[], discovery, 256);
-    asked.wait_for("call 4: GET /api/targets?after=3&wait_ms=1000 HTTP/1.1");
+    received_calls.wait_for("call 4: GET /api/targets?after=3&wait_ms=1000 HTTP/1.1");
     Client::new(&balancer).get("/", "1").record_answer(&trace);
-    asked.assert_matches(expect![[r#"
+    received_calls.assert_matches(expect![[r#"
         call 1: GET /api/targets HTTP/1.1
         call 2: GET /api/targets?after=41&wait_ms=1000 HTTP/1.1
         call 3: GET /api/targets HTTP/1.1
@@ -393,7 +420,9 @@
     "#]]);
 }
 
-/// Guards against requests of one customer at the endpoints of another, and against a change that is taken for followed.
+/// Guards against sending requests of one customer to the endpoints of another after a reload with a foreign
+/// file, and against an operator who believes that a field was reloaded although it applies only after a
+/// restart.
 #[test]
 fn reload_rejects_foreign_file_and_names_deferred_fields() {
     let trace = Trace::default();
@@ -430,7 +459,8 @@
     "#]]);
 }
 
-/// Guards against a list and amounts of work that another deployment left under the same names.
+/// Guards against restoring an endpoint list and learned values that another deployment stored under the same
+/// names.
 #[test]
 fn state_from_other_settings_is_not_restored() {
     let trace = Trace::default();
@@ -443,9 +473,9 @@
     let mut config = config(&[endpoint_entry("a", a, "active")], unresponsive_service(), 256);
     let first = start_with_fleet(&config.to_string(), Some(&file));
     Client::new(&first).get("/", "1").record_answer(&trace);
-    wait_until("a state", || folder.join("n0.state").exists());
+    wait_until("a state file", || folder.join("n0.state").exists());
     drop(first);
-    // Nobody is known but by the folder.
+    // The endpoints are now known only from the state folder.
     config["known"] = endpoint_snapshot(&[]);
     let same = start_with_fleet(&config.to_string(), Some(&file));
     Client::new(&same).get("/", "2").record_answer(&trace);
--- a/crates/cli/tests/resets.rs
+++ b/crates/cli/tests/resets.rs
@@ -103,8 +103,8 @@
     let idle: Vec<TcpStream> = (0..300).map(|_| TcpStream::connect(balancer.address).unwrap()).collect();
     let (before, started) = (cpu_ms(&balancer), Instant::now());
     thread::sleep(Duration::from_secs(2));
-    let (cpu_used, passed) = (cpu_ms(&balancer) - before, started.elapsed().as_millis() as u64);
-    assert!(cpu_used < passed / 2, "{cpu_used} ms of CPU in {passed} ms");
+    let (cpu_used, elapsed) = (cpu_ms(&balancer) - before, started.elapsed().as_millis() as u64);
+    assert!(cpu_used < elapsed / 2, "{cpu_used} ms of CPU in {elapsed} ms");
     discovery_state.record("up");
     // The log drops lines at this rate, so a response from B is what shows that the list has arrived. The
     // balancer either closes idle connections for this client, or closes its connection unread, and the
--- a/crates/cli/tests/sidecar.rs
+++ b/crates/cli/tests/sidecar.rs
@@ -37,9 +37,11 @@
             return None;
         }
     }
-    let length = head.to_ascii_lowercase();
-    let length =
-        length.lines().find_map(|line| line.strip_prefix("content-length: ")?.parse().ok()).unwrap_or(0);
+    let lowercase_head = head.to_ascii_lowercase();
+    let length = lowercase_head
+        .lines()
+        .find_map(|line| line.strip_prefix("content-length: ")?.parse().ok())
+        .unwrap_or(0);
     let mut body = vec![0; length];
     reader.read_exact(&mut body).ok()?;
     Some((head, String::from_utf8_lossy(&body).into_owned()))
--- a/crates/cli/tests/sockets.rs
+++ b/crates/cli/tests/sockets.rs
@@ -1,5 +1,5 @@
-//! The balancer as a process, before toy endpoints and a toy list on ports of the system's choice: what clients
-//! get, and what endpoints saw, as traces to be read by people.
+//! Runs the balancer in front of test endpoints and a test discovery service on free ports, and compares
+//! traces of what clients get and what endpoints receive.
 
 mod common;
 
@@ -76,11 +76,11 @@
 #[test]
 fn unstarted_requests_are_retried_elsewhere() {
     let trace = Trace::default();
-    let nobody = UNREACHABLE_ADDRESS.parse().unwrap();
+    let unreachable = UNREACHABLE_ADDRESS.parse().unwrap();
     let a = test_endpoint("A", &trace);
-    let refused = start(&[endpoint_entry("a", nobody, "active"), endpoint_entry("b", a, "active")]);
+    let refused = start(&[endpoint_entry("a", unreachable, "active"), endpoint_entry("b", a, "active")]);
     Client::new(&refused).post("/refused", "1").record_answer(&trace);
-    let refused = start(&[endpoint_entry("b", nobody, "active"), endpoint_entry("a", a, "active")]);
+    let refused = start(&[endpoint_entry("b", unreachable, "active"), endpoint_entry("a", a, "active")]);
     Client::new(&refused).post("/refused", "2").record_answer(&trace);
     let declined =
         [endpoint_entry("a", a, "active"), endpoint_entry("b", test_endpoint("B", &trace), "active")];
@@ -104,30 +104,35 @@
 fn invalid_requests_never_reach_an_endpoint() {
     let trace = Trace::default();
     let balancer = start(&[endpoint_entry("a", test_endpoint("A", &trace), "active")]);
-    let good = request_headers("1", "look");
-    let bad = [
-        ("GET / HTTP/1.1", good.replace("Req-Id: 1\r\n", ""), ""),
-        ("GET / HTTP/1.1", good.replace("look", "browse"), ""),
-        ("GET / HTTP/1.1", good.replace("acme", "nobody"), ""),
-        ("GET / HTTP/1.1", good.replace("30000", "soon"), ""),
-        ("GET / HTTP/1.1", good.replace("30000", "-1"), ""),
-        ("GET / HTTP/1.1", format!("{good}Req-Cost: NaN\r\n"), ""),
-        ("GET / HTTP/1.1", format!("{good}Req-Kind: buy\r\n"), ""),
-        ("OPTIONS * HTTP/1.1", good.clone(), ""),
-        ("CONNECT / HTTP/1.1", good.clone(), ""),
-        ("POST / HTTP/1.1", format!("{good}Content-Length: 60000000\r\n"), "it begins"),
-        ("GET / HTTP/1.1", format!("{good}Content-Length: many\r\n"), ""),
-        ("GET / HTTP/1.1", format!("{good}Content-Length: +1\r\n"), "1"),
-        ("GET / HTTP/1.1", format!("{good}Content-Length: 1\r\nContent-Length: 1\r\n"), "1"),
-        ("GET / HTTP/1.1", format!("{good}Transfer-Encoding: gzip, chunked\r\n"), "0\r\n\r\n"),
-        ("GET / HTTP/1.1", format!("{good}Content-Length: 5\r\nTransfer-Encoding: chunked\r\n"), "0\r\n\r\n"),
-        ("GET / HTTP/1.1", format!("{good}X: {}", "x".repeat(20_000)), ""),
+    let valid = request_headers("1", "look");
+    let invalid = [
+        ("GET / HTTP/1.1", valid.replace("Req-Id: 1\r\n", ""), ""),
+        ("GET / HTTP/1.1", valid.replace("look", "browse"), ""),
+        ("GET / HTTP/1.1", valid.replace("acme", "nobody"), ""),
+        ("GET / HTTP/1.1", valid.replace("30000", "soon"), ""),
+        ("GET / HTTP/1.1", valid.replace("30000", "-1"), ""),
+        ("GET / HTTP/1.1", format!("{valid}Req-Cost: NaN\r\n"), ""),
+        ("GET / HTTP/1.1", format!("{valid}Req-Kind: buy\r\n"), ""),
+        ("OPTIONS * HTTP/1.1", valid.clone(), ""),
+        ("CONNECT / HTTP/1.1", valid.clone(), ""),
+        ("POST / HTTP/1.1", format!("{valid}Content-Length: 60000000\r\n"), "it begins"),
+        ("GET / HTTP/1.1", format!("{valid}Content-Length: many\r\n"), ""),
+        ("GET / HTTP/1.1", format!("{valid}Content-Length: +1\r\n"), "1"),
+        ("GET / HTTP/1.1", format!("{valid}Content-Length: 1\r\nContent-Length: 1\r\n"), "1"),
+        ("GET / HTTP/1.1", format!("{valid}Transfer-Encoding: gzip, chunked\r\n"), "0\r\n\r\n"),
+        (
+            "GET / HTTP/1.1",
+            format!("{valid}Content-Length: 5\r\nTransfer-Encoding: chunked\r\n"),
+            "0\r\n\r\n",
+        ),
+        ("GET / HTTP/1.1", format!("{valid}X: {}", "x".repeat(20_000)), ""),
         ("NONSENSE", String::new(), ""),
     ];
-    for (start, fields, body) in bad {
+    for (start, fields, body) in invalid {
         Client::new(&balancer).send(&format!("{start}\r\n{fields}\r\n{body}")).record_answer(&trace);
     }
-    // The second request hides behind pieces, and what is wrong with it may not cost the first its answer.
+    // A second request follows the last chunk, or follows a complete request. It must not be smuggled to an
+    // endpoint, and its fault must not cost the first request its answer.
     let mut client = Client::new(&balancer);
     client.send(&format!(
         "POST / HTTP/1.1\r\n{}Transfer-Encoding: chunked\r\n\r\n",
@@ -168,23 +173,24 @@
     "#]]);
 }
 
-/// Guards against two attempts of one id, and against clients that hold a connection and say nothing, or half.
+/// Guards against two attempts with one request id, and against clients that hold a connection open without a
+/// request or with an incomplete one.
 #[test]
 fn duplicate_ids_and_silent_clients_are_rejected() {
     let trace = Trace::default();
     let balancer = start(&[endpoint_entry("a", test_endpoint("A", &trace), "active")]);
-    let (mut silent, mut half) = (Client::new(&balancer), Client::new(&balancer));
-    half.send("GET / HTTP/1.1\r\n");
-    let mut held = Client::new(&balancer);
-    held.get("/slow", "1");
+    let (mut silent, mut incomplete) = (Client::new(&balancer), Client::new(&balancer));
+    incomplete.send("GET / HTTP/1.1\r\n");
+    let mut pending = Client::new(&balancer);
+    pending.get("/slow", "1");
     trace.wait_for("A: GET /slow HTTP/1.1 id 1 body \"\"");
     Client::new(&balancer).post("/", "1").record_answer(&trace);
     trace.record("go on");
-    held.record_answer(&trace);
-    held.post("/", "1").record_answer(&trace);
+    pending.record_answer(&trace);
+    pending.post("/", "1").record_answer(&trace);
     silent.record_answer(&trace);
-    half.record_answer(&trace);
-    // Refused unread: the answer must not be lost to what is still being sent.
+    incomplete.record_answer(&trace);
+    // The body is rejected unread: the client must still get the answer while it is sending.
     let mut large = Client::new(&balancer);
     large
         .send(&format!("POST / HTTP/1.1\r\n{}Content-Length: 99999999\r\n\r\n", request_headers("2", "buy")));
@@ -217,7 +223,8 @@
     "#]]);
 }
 
-/// Guards against attempts on connections that a vanished machine left open.
+/// Guards against attempts on idle connections to an endpoint whose machine has disappeared without closing
+/// them.
 #[test]
 fn unresponsive_endpoint_loses_its_idle_connections() {
     let trace = Trace::default();
@@ -228,8 +235,8 @@
     idle.get("/stay", "2").record_answer(&trace);
     trace.record("go on");
     silent.record_answer(&trace);
-    let in_short = request_headers("3", "buy").replace("30000", "3000");
-    silent.send(&format!("GET /mute HTTP/1.1\r\n{in_short}\r\n")).record_answer(&answers);
+    let short_deadline = request_headers("3", "buy").replace("30000", "3000");
+    silent.send(&format!("GET /mute HTTP/1.1\r\n{short_deadline}\r\n")).record_answer(&answers);
     trace.wait_for("A: idle connection closed");
     answers.wait_for("client: 502 \"no answer, and it may have run\"");
     trace.assert_matches(expect![[r#"
@@ -247,8 +254,8 @@
 fn shutdown_finishes_accepted_requests() {
     let trace = Trace::default();
     let mut balancer = start(&[endpoint_entry("a", test_endpoint("A", &trace), "active")]);
-    let (mut held, mut idle) = (Client::new(&balancer), Client::new(&balancer));
-    held.post("/slow", "1");
+    let (mut pending, mut idle) = (Client::new(&balancer), Client::new(&balancer));
+    pending.post("/slow", "1");
     trace.wait_for("A: POST /slow HTTP/1.1 id 1 body \"one\"");
     idle.get("/", "2").record_answer(&trace);
     balancer.signal("TERM");
@@ -261,7 +268,7 @@
     idle.get("/", "3").record_answer(&trace);
     Client::new(&balancer).get("/", "4").record_answer(&trace);
     trace.record("go on");
-    held.record_answer(&trace);
+    pending.record_answer(&trace);
     trace.record(&format!("{:?}", balancer.process.wait().unwrap().code()));
     trace.assert_matches(expect![[r#"
         A: POST /slow HTTP/1.1 id 1 body "one"
@@ -277,16 +284,17 @@
     "#]]);
 }
 
-/// Guards against a request that is still held when the platform kills what has not ended.
+/// Guards against a request that is still pending, and gets no answer, when the platform kills the process
+/// after the grace period.
 #[test]
 fn shutdown_abandons_requests_after_grace() {
     let trace = Trace::default();
     let mut balancer = start(&[endpoint_entry("a", test_endpoint("A", &trace), "active")]);
-    let mut held = Client::new(&balancer);
-    held.post("/mute", "1");
+    let mut pending = Client::new(&balancer);
+    pending.post("/mute", "1");
     trace.wait_for("A: POST /mute HTTP/1.1 id 1 body \"one\"");
     balancer.signal("TERM");
-    held.record_answer(&trace);
+    pending.record_answer(&trace);
     trace.record(&format!("{:?}", balancer.process.wait().unwrap().code()));
     trace.assert_matches(expect![[r#"
         A: POST /mute HTTP/1.1 id 1 body "one"
@@ -300,15 +308,15 @@
     let trace = Trace::default();
     let (a, b) = (test_endpoint("A", &trace), test_endpoint("B", &trace));
     let calls = Arc::new(Mutex::new(0));
-    let asked = Trace::default();
-    let of_list = asked.clone();
+    let received_calls = Trace::default();
+    let call_log = received_calls.clone();
     let discovery = discovery_service(move |call| {
         let number = {
             let mut calls = calls.lock().unwrap();
             *calls += 1;
             *calls
         };
-        of_list.record(&format!("call {number}: {call}"));
+        call_log.record(&format!("call {number}: {call}"));
         let changes = [endpoint_entry("a", a, "leaving"), endpoint_entry("b", b, "active")];
         match number {
             1 => Some(json!({"version": 5, "full": false, "servers": changes}).to_string()),
@@ -318,11 +326,11 @@
     });
     let balancer = start_with(&[endpoint_entry("a", a, "active")], discovery, 256);
     let call = "GET /api/targets?after=5&wait_ms=1000 HTTP/1.1";
-    asked.wait_for(&format!("call 2: {call}"));
+    received_calls.wait_for(&format!("call 2: {call}"));
     Client::new(&balancer).get("/", "1").record_answer(&trace);
     // The third call is never answered.
-    asked.wait_for(&format!("call 4: {call}"));
-    asked.assert_matches(expect![[r#"
+    received_calls.wait_for(&format!("call 4: {call}"));
+    received_calls.assert_matches(expect![[r#"
         call 1: GET /api/targets?after=1&wait_ms=1000 HTTP/1.1
         call 2: GET /api/targets?after=5&wait_ms=1000 HTTP/1.1
         call 3: GET /api/targets?after=5&wait_ms=1000 HTTP/1.1
@@ -334,7 +342,8 @@
     "#]]);
 }
 
-/// Guards against keeping every endpoint that was ever listed, and against what one left behind at its address.
+/// Guards against keeping every endpoint that was ever listed, and against state of a removed endpoint that
+/// applies to its replacement at the same address.
 #[test]
 fn replaced_endpoint_is_forgotten() {
     let trace = Trace::default();
@@ -367,7 +376,7 @@
         64,
     );
     let idle: Vec<Client> = (0..200).map(|_| Client::new(&balancer)).collect();
-    // Whether its own connection is kept is a matter of chance.
+    // Whether this client's connection stays open varies, so the trace leaves out the Connection field.
     let answer = read_message(&mut Client::new(&balancer).get("/", "1").0).expect("an answer");
     trace.record(&format!("client: {} {:?}", answer.start_line(), answer.body));
     drop(idle);
@@ -377,31 +386,32 @@
     "#]]);
 }
 
-/// Guards against clients that ask once and keep their connection, until the usual ones may open no more.
+/// Guards against clients that send one request and keep their connection open until no sockets are left for
+/// others.
 #[test]
 fn one_shot_clients_are_closed_before_sockets_run_out() {
     let trace = Trace::default();
     let upstreams = [endpoint_entry("a", test_endpoint("A", &Trace::default()), "active")];
-    let (crowded, calm) =
+    let (full_balancer, idle_balancer) =
         (start_with(&upstreams, UNREACHABLE_ADDRESS.parse().unwrap(), 64), start(&upstreams));
-    let (mut silent, of_silent) = (Client::new(&calm), trace.clone());
-    let waited = thread::spawn(move || {
-        read_message(&mut silent.0);
-        of_silent.record("a client that says nothing is sent away elsewhere");
+    let (mut idle_client, idle_trace) = (Client::new(&idle_balancer), trace.clone());
+    let waiter = thread::spawn(move || {
+        read_message(&mut idle_client.0);
+        idle_trace.record("idle balancer closed a connection without a request");
     });
-    let mut stayed: Vec<Client> = (0..20).map(|_| Client::new(&crowded)).collect();
-    for (id, client) in stayed.iter_mut().enumerate() {
+    let mut clients: Vec<Client> = (0..20).map(|_| Client::new(&full_balancer)).collect();
+    for (id, client) in clients.iter_mut().enumerate() {
         read_message(&mut client.get("/", &id.to_string()).0).expect("an answer");
     }
-    stayed[0].record_answer(&trace);
-    waited.join().unwrap();
+    clients[0].record_answer(&trace);
+    waiter.join().unwrap();
     trace.assert_matches(expect![[r#"
         client: connection ended
-        a client that says nothing is sent away elsewhere
+        idle balancer closed a connection without a request
     "#]]);
 }
 
-/// Guards against clients that begin a request and never end it, until no socket is left.
+/// Guards against clients that start requests and never complete them until no sockets are left.
 #[test]
 fn incomplete_requests_are_closed_for_new_connections() {
     let trace = Trace::default();
@@ -410,8 +420,8 @@
         UNREACHABLE_ADDRESS.parse().unwrap(),
         64,
     );
-    let mut half: Vec<Client> = (0..100).map(|_| Client::new(&balancer)).collect();
-    for client in &mut half {
+    let mut incomplete: Vec<Client> = (0..100).map(|_| Client::new(&balancer)).collect();
+    for client in &mut incomplete {
         client.send(&format!(
             "POST / HTTP/1.1\r\n{}Content-Length: 9\r\n\r\nhalf",
             request_headers("0", "buy")
--- a/examples/ops_meter.rs
+++ b/examples/ops_meter.rs
@@ -1,11 +1,11 @@
-//! Measures requests a second through a balancer on one core, and the CPU time of a request, for one program
-//! or several in turns:
+//! Measures requests per second through a balancer on one core, and CPU time per request, for one program or
+//! several in turns:
 //!
 //!     taskset -c 1-7 target/release/examples/ops_meter OLD NEW
 //!
 //! Each argument is the path of a `doorproxy` program. It runs on core 0 in front of eight test endpoints; 96
-//! clients on the other cores send one request after the other. Nine rounds; the medians are printed.
-//! Loopback only.
+//! clients on the other cores send one request after the other over loopback. The program runs nine rounds
+//! and prints the medians.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -87,8 +87,8 @@
 
 /// Accepts connections on a free port, each on a thread of its own.
 fn listen(serve: impl Fn(TcpStream) + Clone + Send + 'static) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port of the system's choice");
-    let address = listener.local_addr().expect("it has an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port can be bound");
+    let address = listener.local_addr().expect("a bound listener has an address");
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let serve = serve.clone();
@@ -98,7 +98,7 @@
     address
 }
 
-/// Reads a head and the body that it announces. False where the connection ended.
+/// Reads and discards a head and a body of its `Content-Length`. Returns false if the connection ends first.
 fn read_and_discard_message(reader: &mut BufReader<TcpStream>, line: &mut String) -> bool {
     let mut length = 0;
     loop {
@@ -140,18 +140,19 @@
         .spawn()
         .expect("taskset and the program can be started");
     while TcpStream::connect(address).is_err() {
-        assert!(child.try_wait().expect("it is ours").is_none(), "{program} ended");
+        assert!(child.try_wait().expect("the child process can be polled").is_none(), "{program} ended");
         thread::sleep(START_POLL_INTERVAL);
     }
     child
 }
 
-/// CPU time of the process so far, in ticks of 10 ms.
+/// Returns the CPU time that the process has used so far, in ticks of 10 ms.
 fn cpu_ticks(child: &Child) -> u64 {
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", child.id())).unwrap_or_default();
     let fields: Vec<u64> =
         stat.rsplit(')').next().unwrap_or("").split(' ').filter_map(|f| f.parse().ok()).collect();
-    // The process state is no number. Of the numbers behind it the 11th and 12th are user and system time.
+    // The process state, a letter, is dropped. Of the numbers after it, the 11th and 12th are user and system
+    // time.
     fields.get(10).unwrap_or(&0) + fields.get(11).unwrap_or(&0)
 }
 
@@ -195,8 +196,8 @@
 }
 
 fn free_address() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port of the system's choice");
-    listener.local_addr().expect("it has an address")
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port can be bound");
+    listener.local_addr().expect("a bound listener has an address")
 }
 
 fn median(mut values: Vec<f64>) -> f64 {
@@ -225,8 +226,8 @@
         }
     }
     for (program, measurements) in programs.iter().zip(measurements) {
-        let rates = measurements.iter().map(|of| of.requests_per_second).collect();
-        let cpu_times = measurements.iter().map(|of| of.cpu_us_per_request).collect();
+        let rates = measurements.iter().map(|measured| measured.requests_per_second).collect();
+        let cpu_times = measurements.iter().map(|measured| measured.cpu_us_per_request).collect();
         let medians =
             Measurement { requests_per_second: median(rates), cpu_us_per_request: median(cpu_times) };
         print("median", program, medians);
--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -29,7 +29,7 @@
     kind: &'static str,
 }
 
-/// What discovery answers: a version that grows with each change, and the state of each endpoint.
+/// The data that discovery serves: a version that grows with each change, and the state of each endpoint.
 #[derive(Clone)]
 struct Registry {
     version: u64,
@@ -38,7 +38,7 @@
 
 type SharedRegistry = Arc<watch::Sender<Registry>>;
 
-/// A poll, which waits for a version after the given one.
+/// The query of a discovery call. With `after`, the call waits up to `wait_ms` for a newer version.
 #[derive(Deserialize)]
 struct DiscoveryQuery {
     after: Option<u64>,
@@ -106,6 +106,6 @@
         .route("/api/targets", get(get_endpoints))
         .route("/api/targets/{id}/{state}", post(set_endpoint_state))
         .with_state(registry);
-    println!("the list is at {DISCOVERY_ADDRESS}");
+    println!("discovery: listening on {DISCOVERY_ADDRESS}");
     axum::serve(TcpListener::bind(DISCOVERY_ADDRESS).await?, router).await
 }
