--- a/crates/process-tests/src/admin_client.rs
+++ b/crates/process-tests/src/admin_client.rs
@@ -50,7 +50,7 @@
         {
             let among = members["among"].as_u64().unwrap_or(0) as u32;
             let counted = members["counted"] == true;
-            history.record(Event::Counted { node: node.clone(), asked, among, counted });
+            history.record(Event::MemberCount { node: node.clone(), asked, among, counted });
         }
     }
 }
--- a/crates/process-tests/src/checkers.rs
+++ b/crates/process-tests/src/checkers.rs
@@ -97,11 +97,11 @@
             Event::Process { node, did, .. } => {
                 let troubles = self.process_outages.entry(node.clone()).or_default();
                 match did {
-                    ProcessChange::Killed | ProcessChange::Exited(_) | ProcessChange::Stopped => {
+                    ProcessChange::Killed | ProcessChange::Exited(_) | ProcessChange::Paused => {
                         open_interval(troubles, at)
                     }
-                    ProcessChange::Started | ProcessChange::Continued => close_interval(troubles, at),
-                    ProcessChange::Ready | ProcessChange::Terminated | ProcessChange::Stayed => {}
+                    ProcessChange::Started | ProcessChange::Resumed => close_interval(troubles, at),
+                    ProcessChange::Ready | ProcessChange::Terminated | ProcessChange::DidNotExit => {}
                 }
             }
             Event::Fault { ways, over, .. } => {
@@ -178,7 +178,7 @@
     let (mut world, mut found) = (FaultTimeline::default(), Findings::default());
     // How late the test cluster was belongs to what came before it.
     for line in &history.lines {
-        if let Event::Late { by } = line.event {
+        if let Event::HarnessLate { by } = line.event {
             world.max_lateness = world.max_lateness.max(by);
         }
     }
--- a/crates/process-tests/src/checkers/attempts.rs
+++ b/crates/process-tests/src/checkers/attempts.rs
@@ -34,7 +34,7 @@
 
 impl AttemptChecker {
     fn on_attempt(&mut self, at: Micros, event: &Event, world: &FaultTimeline, found: &mut Findings) {
-        let Event::Came { op: id, server, start, node, first_byte, right } = event else { return };
+        let Event::AttemptReceived { op: id, server, start, node, first_byte, right } = event else { return };
         let Some(op) = self.requests.get_mut(id) else {
             found.report(
                 "unknown-op",
@@ -74,9 +74,9 @@
             let (first, second) =
                 (other.first_byte_at.min(*first_byte), other.first_byte_at.max(*first_byte));
             let is_allowed = match op.class {
-                RequestClass::Look => true,
-                RequestClass::Top => second - first <= DEDUP_WINDOW + slack,
-                RequestClass::Buy => false,
+                RequestClass::Idempotent => true,
+                RequestClass::Deduplicated => second - first <= DEDUP_WINDOW + slack,
+                RequestClass::NonIdempotent => false,
             };
             if !is_proved && !is_allowed {
                 broken("repeated", &format!("may have run at {} and went to", other.server));
@@ -90,7 +90,7 @@
 impl Checker for AttemptChecker {
     fn on_event(&mut self, at: Micros, event: &Event, world: &FaultTimeline, found: &mut Findings) {
         match event {
-            Event::Asked { op, node, kind, ttl, .. } => {
+            Event::RequestStarted { op, node, kind, ttl, .. } => {
                 let (node, kind, ttl) = (node.clone(), *kind, *ttl);
                 let (ended, status, sent) = (None, None, None);
                 let op_of = RequestRecord {
@@ -106,19 +106,19 @@
                 };
                 self.requests.insert(*op, op_of);
             }
-            Event::Sent { op } => drop(self.requests.get_mut(op).map(|op| op.sent_at = Some(at))),
-            Event::Answered { op, status, .. } => {
+            Event::RequestWritten { op } => drop(self.requests.get_mut(op).map(|op| op.sent_at = Some(at))),
+            Event::ResponseReceived { op, status, .. } => {
                 if let Some(op) = self.requests.get_mut(op) {
                     op.ended_at.get_or_insert(at);
                     op.status = Some(*status);
                 }
             }
-            Event::Lost { op } | Event::Left { op } | Event::Silent { op } => {
+            Event::ConnectionLost { op } | Event::ClientAbandoned { op } | Event::ResponseMissing { op } => {
                 if let Some(op) = self.requests.get_mut(op) {
                     op.ended_at.get_or_insert(at);
                 }
             }
-            Event::Came { .. } => self.on_attempt(at, event, world, found),
+            Event::AttemptReceived { .. } => self.on_attempt(at, event, world, found),
             Event::Declined { op, server, start } => {
                 let op = self.requests.get_mut(op);
                 let pushes = op.into_iter().flat_map(|op| op.attempts.iter_mut().rev());
@@ -127,11 +127,11 @@
                     push.declined_at = Some(at);
                 }
             }
-            Event::Ran { op: id, server, .. } => {
+            Event::EffectApplied { op: id, server, .. } => {
                 let Some(op) = self.requests.get_mut(id) else { return };
                 op.run_count += 1;
                 // A deduplicated attempt that a way held back may run again past the window: what counts is when it was sent.
-                if op.run_count > 1 && op.class == RequestClass::Buy {
+                if op.run_count > 1 && op.class == RequestClass::NonIdempotent {
                     found.report(
                         "effect-twice",
                         at,
@@ -147,7 +147,8 @@
         for (id, op) in &self.requests {
             // An attempt may come long after the rejection that must not have been; only the end of the history tells.
             let may_have_run = op.attempts.iter().any(|push| push.declined_at.is_none());
-            if op.class == RequestClass::Buy && matches!(op.status, Some(429 | 503)) && may_have_run {
+            if op.class == RequestClass::NonIdempotent && matches!(op.status, Some(429 | 503)) && may_have_run
+            {
                 let at = op.ended_at.unwrap_or(op.asked_at);
                 found.report(
                     "nack-after-run",
--- a/crates/process-tests/src/checkers/drain_notices.rs
+++ b/crates/process-tests/src/checkers/drain_notices.rs
@@ -35,7 +35,7 @@
 impl Checker for DrainNoticeChecker {
     fn on_event(&mut self, at: Micros, event: &Event, world: &FaultTimeline, found: &mut Findings) {
         match event {
-            Event::Told { node, whole, rows, .. } => {
+            Event::ListSent { node, whole, rows, .. } => {
                 let listed = self.listed.entry(node.clone()).or_default();
                 if *whole {
                     for server in
@@ -55,7 +55,7 @@
                     listed.push(row.server.clone());
                 }
             }
-            Event::ByHand { node, server, out } => {
+            Event::ManualOverride { node, server, out } => {
                 let pair = (node.clone(), server.clone());
                 if *out {
                     self.manual_ejections.entry(pair).or_insert(at);
@@ -64,19 +64,21 @@
                 }
             }
             // Who is out by hand is kept in the folder, and binds the next process as well.
-            Event::Folder { node, .. } => self.manual_ejections.retain(|(of, _), _| of != node),
+            Event::StateDirectoryChanged { node, .. } => {
+                self.manual_ejections.retain(|(of, _), _| of != node)
+            }
             Event::Process { node, did, .. } => match did {
                 ProcessChange::Killed | ProcessChange::Exited(_) => {
                     self.draining_since.retain(|(of, _), _| of != node);
                     self.listed.remove(node);
                 }
-                ProcessChange::Stopped => {
+                ProcessChange::Paused => {
                     self.postpone_unread(node, at.saturating_sub(UNREAD_WINDOW), Micros::MAX / 2)
                 }
-                ProcessChange::Continued => self.postpone_unread(node, Micros::MAX / 2, at),
+                ProcessChange::Resumed => self.postpone_unread(node, Micros::MAX / 2, at),
                 _ => {}
             },
-            Event::Came { node, server, first_byte, op, .. } => {
+            Event::AttemptReceived { node, server, first_byte, op, .. } => {
                 let pair = (node.clone(), server.clone());
                 let is_late = |told: &Micros| *first_byte > told + DRAIN_GRACE + world.slack();
                 let mut broken = |rule, told: &Micros| {
--- a/crates/process-tests/src/checkers/fleet_limits.rs
+++ b/crates/process-tests/src/checkers/fleet_limits.rs
@@ -79,9 +79,9 @@
     fn on_event(&mut self, at: Micros, event: &Event, _: &FaultTimeline, _: &mut Findings) {
         match event {
             _ if self.bounds.is_empty() => {}
-            Event::Asked { op, .. } => drop(self.asked_at.insert(*op, at)),
+            Event::RequestStarted { op, .. } => drop(self.asked_at.insert(*op, at)),
             Event::Process { did: ProcessChange::Started, .. } => drop(self.first_start.get_or_insert(at)),
-            Event::Came { op, first_byte, .. } => {
+            Event::AttemptReceived { op, first_byte, .. } => {
                 if let Some(asked) = self.asked_at.remove(op) {
                     self.admitted.push((asked, *first_byte));
                 }
--- a/crates/process-tests/src/checkers/fleet_limits/tests.rs
+++ b/crates/process-tests/src/checkers/fleet_limits/tests.rs
@@ -24,9 +24,19 @@
             let (at, node, server) = (60 * SECOND + op * gap, "n1".to_string(), "u0".to_string());
             see(
                 at,
-                Event::Asked { op, node: node.clone(), kind: RequestClass::Look, work: 1, ttl: 9, of: op },
+                Event::RequestStarted {
+                    op,
+                    node: node.clone(),
+                    kind: RequestClass::Idempotent,
+                    work: 1,
+                    ttl: 9,
+                    of: op,
+                },
+            );
+            see(
+                at + 9,
+                Event::AttemptReceived { op, server, start: 1, node, first_byte: at + 9, right: true },
             );
-            see(at + 9, Event::Came { op, server, start: 1, node, first_byte: at + 9, right: true });
         }
         limited.on_end(&world, &mut found);
         found.findings.iter().map(|finding| finding.rule).next()
--- a/crates/process-tests/src/checkers/member_counts.rs
+++ b/crates/process-tests/src/checkers/member_counts.rs
@@ -36,7 +36,7 @@
                 }
                 _ => {}
             },
-            Event::Counted { node, asked, among, counted: true } => {
+            Event::MemberCount { node, asked, among, counted: true } => {
                 let from = asked.saturating_sub(self.settle_time);
                 let is_settled = |other: &str, started: &Option<Micros>| {
                     started.is_some_and(|started| started < from)
--- a/crates/process-tests/src/checkers/member_counts/tests.rs
+++ b/crates/process-tests/src/checkers/member_counts/tests.rs
@@ -14,9 +14,9 @@
         let mut events: Vec<(Micros, Event)> =
             ["n0", "n1", "n2"].map(|node| (SECOND, process(node, ProcessChange::Started))).to_vec();
         if stops {
-            events.push((at - SECOND, process("n2", ProcessChange::Stopped)));
+            events.push((at - SECOND, process("n2", ProcessChange::Paused)));
         }
-        events.push((at, Event::Counted { node: "n0".to_string(), asked: at, among, counted: true }));
+        events.push((at, Event::MemberCount { node: "n0".to_string(), asked: at, among, counted: true }));
         for (at, event) in &events {
             world.on_event(*at, event);
             counts.on_event(*at, event, &world, &mut found);
--- a/crates/process-tests/src/checkers/operator_overrides.rs
+++ b/crates/process-tests/src/checkers/operator_overrides.rs
@@ -55,11 +55,11 @@
 impl Checker for OperatorOverrideChecker {
     fn on_event(&mut self, at: Micros, event: &Event, world: &FaultTimeline, found: &mut Findings) {
         match event {
-            Event::ForFleet { node, server, out: true } => {
+            Event::FleetOverride { node, server, out: true } => {
                 self.known_ejections.entry(server.clone()).or_default().entry(node.clone()).or_insert(at);
             }
-            Event::ForFleet { server, .. } => drop(self.known_ejections.remove(server)),
-            Event::Folder { node, state } => {
+            Event::FleetOverride { server, .. } => drop(self.known_ejections.remove(server)),
+            Event::StateDirectoryChanged { node, state } => {
                 self.forget(node);
                 if state != "Emptied" {
                     self.without_storage.push(node.clone());
@@ -71,8 +71,8 @@
                 self.forget(node)
             }
             // Twice a second.
-            Event::Late { .. } => self.propagate(at, world),
-            Event::Came { node, server, first_byte, op, .. } => {
+            Event::HarnessLate { .. } => self.propagate(at, world),
+            Event::AttemptReceived { node, server, first_byte, op, .. } => {
                 let since = self.known_ejections.get(server).and_then(|knows| knows.get(node));
                 if let Some(since) =
                     since.filter(|since| *first_byte > **since + EJECTION_GRACE + world.slack())
@@ -85,7 +85,7 @@
                     found.report("fleet-ban", at, text);
                 }
             }
-            Event::Differ { text } => found.report("words-differ", at, text.clone()),
+            Event::OverridesDiffer { text } => found.report("words-differ", at, text.clone()),
             _ => {}
         }
     }
--- a/crates/process-tests/src/checkers/operator_overrides/tests.rs
+++ b/crates/process-tests/src/checkers/operator_overrides/tests.rs
@@ -14,19 +14,22 @@
             said.on_event(at, &event, &world, &mut found);
         };
         let (server, node) = ("u0".to_string(), "n0".to_string());
-        see(SECOND, Event::ForFleet { node, server: server.clone(), out: true });
+        see(SECOND, Event::FleetOverride { node, server: server.clone(), out: true });
         if let Some(node) = killed {
             see(2 * SECOND, Event::Process { node: node.to_string(), id: 1, did: ProcessChange::Killed });
         }
         for half in 3..40 {
-            see(half * SECOND / 2, Event::Late { by: 0 });
+            see(half * SECOND / 2, Event::HarnessLate { by: 0 });
         }
         if back {
             let (node, server) = ("n1".to_string(), server.clone());
-            see(20 * SECOND, Event::ForFleet { node, server, out: false });
+            see(20 * SECOND, Event::FleetOverride { node, server, out: false });
         }
         let node = "n2".to_string();
-        see(pushed, Event::Came { op: 1, server, start: 1, node, first_byte: pushed, right: true });
+        see(
+            pushed,
+            Event::AttemptReceived { op: 1, server, start: 1, node, first_byte: pushed, right: true },
+        );
         found.findings.iter().map(|finding| finding.rule).next()
     };
     assert_eq!(rules(20 * SECOND, None, false), Some("fleet-ban"));
--- a/crates/process-tests/src/checkers/permits.rs
+++ b/crates/process-tests/src/checkers/permits.rs
@@ -27,7 +27,7 @@
 impl Checker for PermitChecker {
     fn on_event(&mut self, at: Micros, event: &Event, _: &FaultTimeline, found: &mut Findings) {
         match event {
-            Event::Acts { node, token, until } => {
+            Event::PermitHeld { node, token, until } => {
                 self.acting_until.retain(|_, until| *until > at);
                 let others: Vec<&String> = self.acting_until.keys().filter(|other| *other != node).collect();
                 if others.len() >= self.slots {
@@ -45,7 +45,7 @@
                     self.highest_token = Some((last.max(*token), node.clone()));
                 }
             }
-            Event::Rests { node } => drop(self.acting_until.remove(node)),
+            Event::PermitReleased { node } => drop(self.acting_until.remove(node)),
             _ => {}
         }
     }
--- a/crates/process-tests/src/checkers/permits/tests.rs
+++ b/crates/process-tests/src/checkers/permits/tests.rs
@@ -11,8 +11,8 @@
         let mut found = Findings::default();
         for (at, node, token, until) in events {
             let event = match token {
-                0 => Event::Rests { node: node.to_string() },
-                token => Event::Acts { node: node.to_string(), token: *token, until: *until },
+                0 => Event::PermitReleased { node: node.to_string() },
+                token => Event::PermitHeld { node: node.to_string(), token: *token, until: *until },
             };
             permits.on_event(*at, &event, &FaultTimeline::default(), &mut found);
         }
--- a/crates/process-tests/src/checkers/processes.rs
+++ b/crates/process-tests/src/checkers/processes.rs
@@ -30,13 +30,13 @@
                         found.report("crash", at, format!("{node} ended with {code}"));
                     }
                 }
-                ProcessChange::Stayed => {
+                ProcessChange::DidNotExit => {
                     found.report("never-ended", at, format!("{node} was asked to end and did not"))
                 }
                 ProcessChange::Started => drop(self.discovery_calls.remove(node)),
                 _ => {}
             },
-            Event::Called { node, .. } => {
+            Event::DiscoveryCalled { node, .. } => {
                 let calls = self.discovery_calls.entry(node.clone()).or_default();
                 calls.push_back(at);
                 while calls.front().is_some_and(|first| first + SECOND < at) {
@@ -50,7 +50,7 @@
                     );
                 }
             }
-            Event::Stuck { node } => {
+            Event::BalancerStuck { node } => {
                 found.report("no-progress", at, format!("{node} served nothing though all faults were over"));
             }
             _ => {}
--- a/crates/process-tests/src/checkers/responses.rs
+++ b/crates/process-tests/src/checkers/responses.rs
@@ -37,7 +37,7 @@
 impl Checker for ResponseChecker {
     fn on_event(&mut self, at: Micros, event: &Event, world: &FaultTimeline, found: &mut Findings) {
         match event {
-            Event::Asked { op, node, ttl, .. } if !node.is_empty() => {
+            Event::RequestStarted { op, node, ttl, .. } if !node.is_empty() => {
                 let (node, ttl) = (node.clone(), *ttl);
                 self.requests.insert(
                     *op,
@@ -50,13 +50,13 @@
                     },
                 );
             }
-            Event::Sent { op } => drop(self.requests.get_mut(op).map(|op| op.sent_at = Some(at))),
-            Event::Came { op, server, start, .. } => {
+            Event::RequestWritten { op } => drop(self.requests.get_mut(op).map(|op| op.sent_at = Some(at))),
+            Event::AttemptReceived { op, server, start, .. } => {
                 if let Some(op) = self.requests.get_mut(op) {
                     op.received_by.insert(format!("{server}#{start}"));
                 }
             }
-            Event::Answered { op: id, status, by } => {
+            Event::ResponseReceived { op: id, status, by } => {
                 let is_made = |op: &PendingRequest| by.as_ref().is_some_and(|by| op.received_by.contains(by));
                 // Nothing that the test cluster does makes an answer out of nothing.
                 if let Some(op) = self.requests.get(id).filter(|op| *status == 200 && !is_made(op)) {
@@ -84,7 +84,7 @@
                     );
                 }
             }
-            Event::Lost { op: id } => {
+            Event::ConnectionLost { op: id } => {
                 let Some(op) = self.take_unexcused(*id, at, world) else { return };
                 // A balancer may close an idle connection in the moment in which a request is written to it.
                 if !op.received_by.is_empty() {
@@ -93,13 +93,13 @@
                     found.report("unanswered", at, text);
                 }
             }
-            Event::Silent { op: id } => {
+            Event::ResponseMissing { op: id } => {
                 if let Some(op) = self.take_unexcused(*id, at, world) {
                     found.report("unanswered", at, format!("op {id:x} at {} got no answer", op.node));
                 }
             }
-            Event::Left { op } => drop(self.requests.remove(op)),
-            Event::Second { op } => {
+            Event::ClientAbandoned { op } => drop(self.requests.remove(op)),
+            Event::ExtraBytes { op } => {
                 found.report("second-answer", at, format!("op {op:x} got more than one answer"));
             }
             _ => {}
--- a/crates/process-tests/src/checkers/slow_start.rs
+++ b/crates/process-tests/src/checkers/slow_start.rs
@@ -46,12 +46,12 @@
 impl Checker for SlowStartChecker {
     fn on_event(&mut self, at: Micros, event: &Event, world: &FaultTimeline, _: &mut Findings) {
         match event {
-            Event::Asked { op, work, .. } => drop(self.work_by_request.insert(*op, *work)),
-            Event::Started { server, start, cold: true, since, capacity } => {
+            Event::RequestStarted { op, work, .. } => drop(self.work_by_request.insert(*op, *work)),
+            Event::UpstreamStarted { server, start, cold: true, since, capacity } => {
                 let of = WarmingStart { started_at: *since, capacity: *capacity, attempts: Vec::new() };
                 self.starts.insert((server.clone(), *start), of);
             }
-            Event::Told { node, rows, .. } => {
+            Event::ListSent { node, rows, .. } => {
                 for row in rows {
                     let known = self
                         .known_starts
@@ -65,7 +65,7 @@
             Event::Process { node, did: ProcessChange::Killed | ProcessChange::Exited(_), .. } => {
                 self.known_starts.retain(|(of, _), _| of != node);
             }
-            Event::Came { op, server, start, node, first_byte, .. } => {
+            Event::AttemptReceived { op, server, start, node, first_byte, .. } => {
                 let Some(of) = self.starts.get_mut(&(server.clone(), *start)) else { return };
                 let told = self.known_starts.get(&(node.clone(), server.clone()));
                 // The list tells whole milliseconds.
--- a/crates/process-tests/src/checkers/staleness.rs
+++ b/crates/process-tests/src/checkers/staleness.rs
@@ -28,17 +28,17 @@
 impl Checker for StalenessChecker {
     fn on_event(&mut self, at: Micros, event: &Event, world: &FaultTimeline, found: &mut Findings) {
         match event {
-            Event::Listed { server, state } => {
+            Event::EndpointListed { server, state } => {
                 if state == "active" {
                     self.draining_since.remove(server);
                 } else {
                     self.draining_since.entry(server.clone()).or_insert(at);
                 }
             }
-            Event::Process { node, did: ProcessChange::Started | ProcessChange::Continued, .. } => {
+            Event::Process { node, did: ProcessChange::Started | ProcessChange::Resumed, .. } => {
                 self.running_since.insert(node.clone(), at);
             }
-            Event::Came { op, server, node, first_byte, .. } => {
+            Event::AttemptReceived { op, server, node, first_byte, .. } => {
                 let (Some(left), Some(running)) =
                     (self.draining_since.get(server), self.running_since.get(node))
                 else {
--- a/crates/process-tests/src/cluster/balancer_config.rs
+++ b/crates/process-tests/src/cluster/balancer_config.rs
@@ -61,7 +61,7 @@
             ListedEndpoint { server, state: row["state"].as_str().unwrap_or_default().to_string(), started }
         });
         let version = known["version"].as_u64().unwrap_or(0);
-        Event::Told { node: node.to_string(), version, whole: true, rows: rows.collect() }
+        Event::ListSent { node: node.to_string(), version, whole: true, rows: rows.collect() }
     }
 }
 
--- a/crates/process-tests/src/cluster/end_checks.rs
+++ b/crates/process-tests/src/cluster/end_checks.rs
@@ -37,7 +37,7 @@
                 return;
             }
             if self.clock.now() > until {
-                return self.record(Event::Differ { text: format!("{answers:?}") });
+                return self.record(Event::OverridesDiffer { text: format!("{answers:?}") });
             }
             clock::sleep(MEMBERSHIP_POLL_INTERVAL).await;
         }
@@ -48,7 +48,7 @@
         let paused = std::mem::take(&mut self.paused);
         for name in &paused {
             self.nodes[name].resume();
-            self.record_process(name, ProcessChange::Continued);
+            self.record_process(name, ProcessChange::Resumed);
         }
         self.record(Event::Fault { text: "the end".to_string(), ways: Vec::new(), over: true });
         for (index, fault) in self.scenario.faults.clone().iter().enumerate() {
@@ -64,7 +64,7 @@
                     (self.load_generator.clone(), self.history.clone(), self.hang_timeout);
                 checks.spawn(async move {
                     if !load_generator.wait_until_served(index, hang_timeout).await {
-                        history.record(Event::Stuck { node: name });
+                        history.record(Event::BalancerStuck { node: name });
                     }
                 });
             }
--- a/crates/process-tests/src/cluster/faults.rs
+++ b/crates/process-tests/src/cluster/faults.rs
@@ -24,7 +24,7 @@
             }
             FaultKind::Pause => {
                 for name in targets()? {
-                    self.record_process(&name, ProcessChange::Stopped);
+                    self.record_process(&name, ProcessChange::Paused);
                     self.nodes[&name].pause();
                     self.paused.insert(name);
                 }
@@ -81,7 +81,7 @@
                 for name in targets()? {
                     self.nodes[&name].resume();
                     self.paused.remove(&name);
-                    self.record_process(&name, ProcessChange::Continued);
+                    self.record_process(&name, ProcessChange::Resumed);
                 }
             }
             FaultKind::PutOut | FaultKind::PutOutOfFleet => {
@@ -160,7 +160,7 @@
         with_context(name, self.nodes[name].prepare_state_directory(fault.folder, other.as_deref()))?;
         if fault.folder != StateDirectoryCondition::Kept {
             let state = format!("{:?}", fault.folder);
-            self.record(Event::Folder { node: name.to_string(), state });
+            self.record(Event::StateDirectoryChanged { node: name.to_string(), state });
         }
         self.start_balancer(name, fault.known, fault.folder)
     }
@@ -175,8 +175,8 @@
             let at = self.proxy.addresses.admin(node);
             let (of, to) = (node.clone(), server.clone());
             let event = match whole {
-                true => Event::ForFleet { node: of, server: to, out },
-                false => Event::ByHand { node: of, server: to, out },
+                true => Event::FleetOverride { node: of, server: to, out },
+                false => Event::ManualOverride { node: of, server: to, out },
             };
             if !out {
                 // It may be back from now on, also where the confirmation never arrives.
--- a/crates/process-tests/src/cluster/processes.rs
+++ b/crates/process-tests/src/cluster/processes.rs
@@ -96,7 +96,7 @@
         }
         for name in &names {
             if self.nodes[name].child.is_some() {
-                self.record_process(name, ProcessChange::Stayed);
+                self.record_process(name, ProcessChange::DidNotExit);
                 if let Some(node) = self.nodes.get_mut(name) {
                     node.kill();
                 }
--- a/crates/process-tests/src/fault_report_measurement.rs
+++ b/crates/process-tests/src/fault_report_measurement.rs
@@ -132,9 +132,11 @@
     for line in played.history.lines.iter().filter(|line| line.at >= fault && line.at < played.load_period.1)
     {
         match &line.event {
-            Event::Asked { op, .. } => drop(asked.insert(*op)),
-            Event::Came { server, .. } if server == FAULTY_UPSTREAM && line.at < over => reading.at_ill += 1,
-            Event::Answered { op, status, .. } if asked.contains(op) => match status {
+            Event::RequestStarted { op, .. } => drop(asked.insert(*op)),
+            Event::AttemptReceived { server, .. } if server == FAULTY_UPSTREAM && line.at < over => {
+                reading.at_ill += 1
+            }
+            Event::ResponseReceived { op, status, .. } if asked.contains(op) => match status {
                 200 => served += 1,
                 503 => reading.refused += 1,
                 _ => reading.failed += 1,
--- a/crates/process-tests/src/history/tests.rs
+++ b/crates/process-tests/src/history/tests.rs
@@ -9,7 +9,7 @@
     let path = folder.path().join("history");
     let writer = HistoryWriter::create(&path, Clock::start()).unwrap();
     for op in 1..4 {
-        writer.record(Event::Sent { op });
+        writer.record(Event::RequestWritten { op });
     }
     assert_eq!(writer.finish().unwrap(), 3);
     let whole = std::fs::read(&path).unwrap();
--- a/crates/process-tests/src/lateness.rs
+++ b/crates/process-tests/src/lateness.rs
@@ -51,7 +51,7 @@
         thread::sleep(SLEEP_INTERVAL);
         recent = recent.max((began_at.elapsed() - SLEEP_INTERVAL).as_micros() as Micros);
         if recorded_at.elapsed() > RECORD_INTERVAL {
-            events.record(Event::Late { by: recent });
+            events.record(Event::HarnessLate { by: recent });
             max_lateness.fetch_max(recent, Ordering::Relaxed);
             recent = 0;
             recorded_at = Instant::now();
--- a/crates/process-tests/src/permit_worker.rs
+++ b/crates/process-tests/src/permit_worker.rs
@@ -60,7 +60,7 @@
             clock::sleep(PERMIT_INTERVAL).await;
             let now = self.clock.now();
             if acts_until > now && now >= gives_back_at {
-                self.history.record(Event::Rests { node: self.node.clone() });
+                self.history.record(Event::PermitReleased { node: self.node.clone() });
                 acts_until = 0;
                 let _ = self.call("back", "task").await;
                 clock::sleep(rng.random_range(0..SECOND / 2)).await;
@@ -75,7 +75,11 @@
                     gives_back_at = now + rng.random_range(SECOND / 4..2 * SECOND);
                 }
                 acts_until = until;
-                self.history.record(Event::Acts { node: self.node.clone(), token: permit.token, until });
+                self.history.record(Event::PermitHeld {
+                    node: self.node.clone(),
+                    token: permit.token,
+                    until,
+                });
             }
         }
     }
--- a/crates/process-tests/src/quota_measurement.rs
+++ b/crates/process-tests/src/quota_measurement.rs
@@ -130,7 +130,7 @@
 fn admission_times(played: &RunReport) -> Vec<Micros> {
     let mut seen = std::collections::BTreeSet::new();
     let firsts = played.history.lines.iter().filter_map(|line| match &line.event {
-        Event::Came { op, first_byte, .. } if seen.insert(*op) => {
+        Event::AttemptReceived { op, first_byte, .. } if seen.insert(*op) => {
             first_byte.checked_sub(played.load_period.0)
         }
         _ => None,
--- a/crates/process-tests/src/recovery_measurement.rs
+++ b/crates/process-tests/src/recovery_measurement.rs
@@ -69,8 +69,8 @@
     let mut served = BTreeMap::new();
     for line in &played.history.lines {
         match &line.event {
-            Event::Asked { op, .. } if *op < FIRST_RETRY_ID => drop(asked.insert(*op, line.at)),
-            Event::Answered { op, status: 200, .. } => {
+            Event::RequestStarted { op, .. } if *op < FIRST_RETRY_ID => drop(asked.insert(*op, line.at)),
+            Event::ResponseReceived { op, status: 200, .. } => {
                 if let Some(at) = asked.get(op) {
                     served.insert(*op, (at.saturating_sub(played.load_period.0), line.at - at));
                 }
@@ -140,7 +140,7 @@
     let service = (0..steps).map(|n| part(n as u64 * PEAK_WINDOW, (n as u64 + 1) * PEAK_WINDOW)).collect();
     let mut load = vec![0.0; steps];
     for line in &played.history.lines {
-        if let Event::Came { .. } = line.event
+        if let Event::AttemptReceived { .. } = line.event
             && let Some(step) = load.get_mut((line.at.saturating_sub(begin) / PEAK_WINDOW) as usize)
         {
             *step += 1.0;
@@ -151,19 +151,22 @@
         full_after_s: full.map(|at| (at - back) as f64 / SECOND as f64),
         served: part(back, back + STEADY_TIME),
         list_calls: peak_count(played, fault, |event| {
-            matches!(event, Event::Called { .. }).then(String::new)
+            matches!(event, Event::DiscoveryCalled { .. }).then(String::new)
         }),
         connections: peak_count(played, fault, |event| match event {
-            Event::Opened { server, .. } => Some(server.clone()),
+            Event::ConnectionAccepted { server, .. } => Some(server.clone()),
             _ => None,
         }),
         pushes: peak_count(played, fault, |event| match event {
-            Event::Came { server, .. } => Some(server.clone()),
+            Event::AttemptReceived { server, .. } => Some(server.clone()),
             _ => None,
         }),
-        refused: count(&|event| matches!(event, Event::Answered { status: 429 | 503, .. })),
+        refused: count(&|event| matches!(event, Event::ResponseReceived { status: 429 | 503, .. })),
         lost: count(&|event| {
-            matches!(event, Event::Lost { .. } | Event::Silent { .. } | Event::Untaken { .. })
+            matches!(
+                event,
+                Event::ConnectionLost { .. } | Event::ResponseMissing { .. } | Event::NotConnected { .. }
+            )
         }),
         cold_part: crate::checkers::peak_slow_start_ratio(script, &played.history),
         p50_ms: took.value_at_quantile(0.5) as f64 / 1e3,
--- a/crates/process-tests/tests/recovery.rs
+++ b/crates/process-tests/tests/recovery.rs
@@ -24,9 +24,9 @@
         );
         for line in after {
             match &line.event {
-                Event::Called { node: of, .. } if of == node => return false,
-                Event::Asked { op, node: of, .. } if of == node => drop(ops.insert(*op)),
-                Event::Answered { op, status: 200, .. } if ops.contains(op) => return true,
+                Event::DiscoveryCalled { node: of, .. } if of == node => return false,
+                Event::RequestStarted { op, node: of, .. } if of == node => drop(ops.insert(*op)),
+                Event::ResponseReceived { op, status: 200, .. } if ops.contains(op) => return true,
                 _ => {}
             }
         }
@@ -70,7 +70,7 @@
     let from =
         played.history.lines.iter().position(|line| matches!(&line.event, Event::Fault { .. })).unwrap();
     let answers = played.history.lines[from..].iter().filter_map(|line| match &line.event {
-        Event::Answered { status, .. } => Some(*status),
+        Event::ResponseReceived { status, .. } => Some(*status),
         _ => None,
     });
     let (served, refused): (Vec<u16>, Vec<u16>) = answers.partition(|status| *status == 200);
--- a/crates/test-servers/src/discovery_service.rs
+++ b/crates/test-servers/src/discovery_service.rs
@@ -1,5 +1,6 @@
-//! The list service: one, that works calls through in turn, with watches. It owns versions and who is listed. It must never
-//! tell one balancer another's addresses.
+//! A discovery service that handles calls one after the other and supports watches. It owns the endpoint list
+//! and its version. Each balancer reaches endpoints through addresses of its own, and is never sent those of
+//! another balancer.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -11,7 +12,7 @@
 use serde_json::{Value, json};
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::{Mutex as Turn, watch};
+use tokio::sync::{Mutex as AsyncMutex, watch};
 use tokio::task::JoinSet;
 
 use crate::clock::{self, Clock, MS, Micros};
@@ -19,7 +20,7 @@
 use crate::http::{MessageKind, MessageReader, response};
 use crate::upstream::{ConnectionOrigins, accept_proxied};
 
-/// More calls than this in line are refused.
+/// A call that finds this many others waiting is rejected with 503.
 const MAX_QUEUED_CALLS: usize = 64;
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
 
@@ -37,12 +38,14 @@
     tasks: Option<JoinSet<()>>,
 }
 
-/// Where a balancer finds an endpoint.
+/// Returns the address at which a balancer (first name) reaches an endpoint (second name).
 pub type AddressResolver = Arc<dyn Fn(&str, &str) -> SocketAddr + Send + Sync>;
 
+/// A running or stopped discovery service.
 pub struct DiscoveryService {
+    /// The address at which it listens.
     pub address: SocketAddr,
-    /// What one call takes, while the others wait.
+    /// The time that one call takes; other calls wait meanwhile.
     call_cost: Micros,
     clock: Clock,
     events: SharedEventSink,
@@ -50,64 +53,62 @@
     addresses: AddressResolver,
     state: Mutex<ServiceState>,
     version_updates: watch::Sender<u64>,
-    call_turn: Turn<()>,
+    call_lock: AsyncMutex<()>,
     queued_calls: AtomicUsize,
 }
 
 impl DiscoveryService {
+    /// Returns a service with an empty endpoint list that does not listen yet.
     pub fn new(
-        at: SocketAddr,
-        cost: Micros,
+        address: SocketAddr,
+        call_cost: Micros,
         clock: Clock,
-        book: SharedEventSink,
-        passages: Arc<dyn ConnectionOrigins>,
+        events: SharedEventSink,
+        origins: Arc<dyn ConnectionOrigins>,
         addresses: AddressResolver,
     ) -> Arc<DiscoveryService> {
         let state = Mutex::new(ServiceState { version: 1, endpoints: BTreeMap::new(), tasks: None });
-        let (version, turn, in_line) = (watch::Sender::new(1), Turn::default(), AtomicUsize::new(0));
         Arc::new(DiscoveryService {
-            address: at,
-            call_cost: cost,
+            address,
+            call_cost,
             clock,
-            events: book,
-            origins: passages,
+            events,
+            origins,
             addresses,
             state,
-            version_updates: version,
-            call_turn: turn,
-            queued_calls: in_line,
+            version_updates: watch::Sender::new(1),
+            call_lock: AsyncMutex::default(),
+            queued_calls: AtomicUsize::new(0),
         })
     }
 
     fn state(&self) -> MutexGuard<'_, ServiceState> {
-        self.state.lock().expect("no panic while it is held")
+        self.state.lock().expect("no thread panics while it holds this lock")
     }
 
-    /// Lists an endpoint, or changes what is listed of it: `active`, `leaving` or `left`.
-    pub fn set_endpoint(&self, server: &str, zone: &str, state: &'static str, started: Micros) {
-        self.events.record(Event::Listed { server: server.to_string(), state: state.to_string() });
+    /// Adds an endpoint to the list or changes its entry. The status is `active`, `leaving` or `left`.
+    pub fn set_endpoint(&self, server: &str, zone: &str, status: &'static str, started_at: Micros) {
+        self.events.record(Event::EndpointListed { server: server.to_string(), state: status.to_string() });
         let version = {
-            let mut all = self.state();
-            all.version += 1;
-            let changed = all.version;
-            all.endpoints.insert(
+            let mut state = self.state();
+            state.version += 1;
+            let version = state.version;
+            state.endpoints.insert(
                 server.to_string(),
-                EndpointEntry {
-                    zone: zone.to_string(),
-                    status: state,
-                    started_at: started,
-                    changed_in_version: changed,
-                },
+                EndpointEntry { zone: zone.to_string(), status, started_at, changed_in_version: version },
             );
-            changed
+            version
         };
         self.version_updates.send_replace(version);
     }
 
+    /// Listens and answers calls; restarts the service if it runs.
+    ///
     /// # Errors
-    /// Where its address can't be listened at.
+    ///
+    /// Fails if its address can't be bound for another reason than that it is in use.
     pub async fn start(self: &Arc<Self>) -> io::Result<()> {
-        // Two faults may end one after the other.
+        // Two overlapping faults may each start the service when they end.
         self.stop();
         let listener = loop {
             match TcpListener::bind(self.address).await {
@@ -115,92 +116,94 @@
                 bound => break bound?,
             }
         };
-        let mut life = JoinSet::new();
-        life.spawn(self.clone().accept_connections(listener));
-        self.state().tasks = Some(life);
+        let mut tasks = JoinSet::new();
+        tasks.spawn(self.clone().accept_connections(listener));
+        self.state().tasks = Some(tasks);
         Ok(())
     }
 
-    /// It is away: watches end, calls are refused.
+    /// Stops the service: watches end, and new connections are refused.
     pub fn stop(&self) {
         self.state().tasks = None;
     }
 
     async fn accept_connections(self: Arc<Self>, listener: TcpListener) {
-        accept_proxied(listener, &*self.origins, |stream, passage| {
-            self.clone().serve_connection(stream, passage.from)
+        accept_proxied(listener, &*self.origins, |stream, origin| {
+            self.clone().serve_connection(stream, origin.from)
         })
         .await;
     }
 
     async fn serve_connection(self: Arc<Self>, stream: TcpStream, node: String) {
         let _ = stream.set_nodelay(true);
-        let (from, mut to) = stream.into_split();
-        let mut reader = MessageReader::new(from, MessageKind::Request);
+        let (reader, mut writer) = stream.into_split();
+        let mut reader = MessageReader::new(reader, MessageKind::Request);
         while let Ok(Some(call)) = reader.next_message().await {
-            let line = self.queued_calls.fetch_add(1, Ordering::Relaxed);
-            if line >= MAX_QUEUED_CALLS {
+            let calls_before = self.queued_calls.fetch_add(1, Ordering::Relaxed);
+            if calls_before >= MAX_QUEUED_CALLS {
                 self.queued_calls.fetch_sub(1, Ordering::Relaxed);
-                self.events.record(Event::Called { node: node.clone(), status: 503 });
-                if to.write_all(&response("503 Busy", "", b"")).await.is_err() {
+                self.events.record(Event::DiscoveryCalled { node: node.clone(), status: 503 });
+                if writer.write_all(&response("503 Busy", "", b"")).await.is_err() {
                     return;
                 }
                 continue;
             }
             {
-                let _turn = self.call_turn.lock().await;
+                let _guard = self.call_lock.lock().await;
                 clock::sleep(self.call_cost).await;
             }
             self.queued_calls.fetch_sub(1, Ordering::Relaxed);
-            self.events.record(Event::Called { node: node.clone(), status: 200 });
+            self.events.record(Event::DiscoveryCalled { node: node.clone(), status: 200 });
             let query = call.target.strip_prefix("/api/targets?").unwrap_or_default();
-            let field = |name: &str| {
-                let found = query.split('&').find_map(|part| part.strip_prefix(name)?.strip_prefix('='));
-                found.and_then(|text| text.parse::<u64>().ok())
+            let parameter = |name: &str| {
+                let value = query.split('&').find_map(|part| part.strip_prefix(name)?.strip_prefix('='));
+                value.and_then(|value| value.parse::<u64>().ok())
             };
-            let after = field("after");
+            let after = parameter("after");
             if let Some(after) = after {
-                let wait = Duration::from_millis(field("wait_ms").unwrap_or(0)).min(MAX_WATCH_WAIT);
+                let wait = Duration::from_millis(parameter("wait_ms").unwrap_or(0)).min(MAX_WATCH_WAIT);
                 let mut versions = self.version_updates.subscribe();
                 let _ = tokio::time::timeout(wait, versions.wait_for(|version| *version != after)).await;
             }
-            let (told, text) = self.render_list(&node, after);
-            self.events.record(told);
-            if to.write_all(&response("200 OK", "", text.as_bytes())).await.is_err() {
+            let (event, text) = self.render_list(&node, after);
+            self.events.record(event);
+            if writer.write_all(&response("200 OK", "", text.as_bytes())).await.is_err() {
                 return;
             }
         }
     }
 
+    /// Renders the full list for a balancer, or the changes after a version, with the event to record.
     fn render_list(&self, node: &str, after: Option<u64>) -> (Event, String) {
         let state = self.state();
-        // A version from the future is of another life of this service.
+        // A version that this service has not reached yet is from an earlier run of it: the full list is
+        // sent.
         let after = after.filter(|after| *after <= state.version);
-        let told = |line: &EndpointEntry| match after {
-            Some(after) => line.changed_in_version > after,
-            None => line.status != "left",
+        let is_included = |entry: &EndpointEntry| match after {
+            Some(after) => entry.changed_in_version > after,
+            None => entry.status != "left",
         };
-        let lines: Vec<(&String, &EndpointEntry)> =
-            state.endpoints.iter().filter(|(_, line)| told(line)).collect();
-        let of = |(name, line): &(&String, &EndpointEntry)| -> Value {
-            let started = if line.started_at == 0 { 0 } else { self.clock.unix_ms(line.started_at) };
-            json!({"id": name, "addr": (self.addresses)(node, name), "zone": line.zone, "kind": "small", "cell": 0,
-                "state": line.status, "weight": 1.0, "started_ms": started})
+        let entries: Vec<(&String, &EndpointEntry)> =
+            state.endpoints.iter().filter(|(_, entry)| is_included(entry)).collect();
+        let to_json = |(name, entry): &(&String, &EndpointEntry)| -> Value {
+            let started = if entry.started_at == 0 { 0 } else { self.clock.unix_ms(entry.started_at) };
+            json!({"id": name, "addr": (self.addresses)(node, name), "zone": entry.zone, "kind": "small",
+                "cell": 0, "state": entry.status, "weight": 1.0, "started_ms": started})
         };
-        let written: Vec<Value> = lines.iter().map(of).collect();
-        let row = |(name, line): &(&String, &EndpointEntry)| ListedEndpoint {
+        let servers: Vec<Value> = entries.iter().map(to_json).collect();
+        let to_row = |(name, entry): &(&String, &EndpointEntry)| ListedEndpoint {
             server: name.to_string(),
-            state: line.status.to_string(),
-            started: line.started_at,
+            state: entry.status.to_string(),
+            started: entry.started_at,
         };
         let (version, whole) = (state.version, after.is_none());
-        let rows = lines.iter().map(row).collect();
-        let text = json!({"version": version, "full": whole, "servers": written}).to_string();
-        (Event::Told { node: node.to_string(), version, whole, rows }, text)
+        let rows = entries.iter().map(to_row).collect();
+        let text = json!({"version": version, "full": whole, "servers": servers}).to_string();
+        (Event::ListSent { node: node.to_string(), version, whole, rows }, text)
     }
 
-    /// The whole list as a balancer's configuration holds it.
+    /// Returns the full list as a balancer's configuration holds it.
     pub fn full_list(&self, node: &str) -> Value {
-        serde_json::from_str(&self.render_list(node, None).1).expect("a list that was just written")
+        serde_json::from_str(&self.render_list(node, None).1).expect("the rendered list is JSON")
     }
 }
--- a/crates/test-servers/src/http/tests.rs
+++ b/crates/test-servers/src/http/tests.rs
@@ -2,23 +2,25 @@
 
 use super::*;
 
-async fn read_all(bytes: &[u8], side: MessageKind) -> String {
-    let mut reader = MessageReader::new(bytes, side);
-    let mut told = String::new();
+/// Describes all messages in these bytes, and how the reader ends.
+async fn read_all(bytes: &[u8], kind: MessageKind) -> String {
+    let mut reader = MessageReader::new(bytes, kind);
+    let mut messages = String::new();
     loop {
         match reader.next_message().await {
             Ok(Some(m)) => {
-                told += &format!("{} {} {:?}; ", m.status, m.target, String::from_utf8_lossy(&m.body))
+                messages += &format!("{} {} {:?}; ", m.status, m.target, String::from_utf8_lossy(&m.body))
             }
-            Ok(None) => return told + "end",
-            Err(error) => return told + &format!("{:?}", error.kind()),
+            Ok(None) => return messages + "end",
+            Err(error) => return messages + &format!("{:?}", error.kind()),
         }
     }
 }
 
-/// Guards against a stand-in that takes half an answer for a whole one, and so hides a lost request.
+/// Guards against a test client that takes a truncated response for a complete one, which would hide a lost
+/// request.
 #[tokio::test]
-async fn what_is_cut_off_is_no_message() {
+async fn truncated_message_is_an_error() {
     let two = [response("200 OK", "", b"one"), response("503 No", "Retry-After: 1\r\n", b"")].concat();
     assert_eq!(read_all(&two, MessageKind::Response).await, "200  \"one\"; 503  \"\"; end");
     assert_eq!(read_all(&two[..two.len() - 1], MessageKind::Response).await, "200  \"one\"; UnexpectedEof");
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -1,5 +1,8 @@
-//! What a balancer meets on loopback, for tests and tools: endpoints, the list service, clients. Each tells a [`events::Sink`]
-//! what it saw. Nothing here is part of the program, and nothing here asks a balancer what it meant.
+//! Test servers and clients on loopback, for tests and tools that run real balancers: endpoints, the
+//! discovery service and a load generator. Each records what it observes in an [`events::EventSink`]. None of
+//! this is part of doorproxy, and none of it asks a balancer about its own state.
+
+#![warn(missing_docs)]
 
 pub mod client;
 pub mod clock;
