--- a/crates/process-tests/src/checkers.rs
+++ b/crates/process-tests/src/checkers.rs
@@ -1,6 +1,6 @@
-//! The rules, seen from outside: checkers that read a history and say where it breaks one. Their verdicts hold on every
-//! schedule; where a time is part of a rule, the slack is many times what a machine with all cores busy adds. They must never
-//! go by what a balancer says of itself.
+//! Checkers that read a history and report where the observed behaviour violates a rule. A violation is one
+//! on every schedule: where a rule has a time, the tolerance is many times the delay that a machine with all
+//! cores busy adds. Except where a checker says so, none relies on what a balancer reports about itself.
 
 mod attempts;
 mod drain_notices;
@@ -22,117 +22,129 @@
 use crate::history::History;
 use crate::scenario::Scenario;
 
-/// What busy cores may add between a decision and what others see of it. A balancer that breaks a timed rule goes on to, and
-/// is found all the same.
+/// The tolerated delay between a decision and its observation on a machine with busy cores. A balancer that
+/// violates a timed rule keeps doing so, and is found in spite of this tolerance.
 pub const SLACK: Micros = SECOND;
 
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Finding {
+pub struct Violation {
+    /// The name of the rule.
     pub rule: &'static str,
+    /// When it was observed.
     pub at: Micros,
+    /// A description with the ids and values.
     pub text: String,
 }
 
-/// One way to look at a history.
+/// Checks one group of rules on the events of a history.
 pub trait Checker {
-    fn on_event(&mut self, at: Micros, event: &Event, world: &FaultTimeline, found: &mut Findings);
+    /// Handles the next event; the timeline holds the faults up to it.
+    fn on_event(&mut self, at: Micros, event: &Event, timeline: &FaultTimeline, violations: &mut Violations);
 
-    /// The history is over.
-    fn on_end(&mut self, _world: &FaultTimeline, _found: &mut Findings) {}
+    /// Handles the end of a history that is complete.
+    fn on_end(&mut self, _world: &FaultTimeline, _violations: &mut Violations) {}
 }
 
-/// Findings, each rule only so often: a rule broken by every request tells no more than one broken by the first few.
+/// The violations so far. Each rule is reported a limited number of times: when every request violates it,
+/// the first few show as much as all.
 #[derive(Default)]
-pub struct Findings {
-    findings: Vec<Finding>,
+pub struct Violations {
+    reported: Vec<Violation>,
     counts: BTreeMap<&'static str, usize>,
 }
 
 const MAX_FINDINGS_PER_RULE: usize = 20;
 
-impl Findings {
+impl Violations {
+    /// Adds a violation, unless its rule was reported often enough.
     pub fn report(&mut self, rule: &'static str, at: Micros, text: String) {
         let count = self.counts.entry(rule).or_insert(0);
         *count += 1;
         if *count <= MAX_FINDINGS_PER_RULE {
-            self.findings.push(Finding { rule, at, text });
+            self.reported.push(Violation { rule, at, text });
         }
     }
 }
 
-/// From when until when; the last may be open.
+/// Start and end of each interval; the last one may have no end yet.
 type Intervals = Vec<(Micros, Option<Micros>)>;
 
-/// What the test cluster itself did, which excuses some of what follows: processes that died or stood still, ways that were bad.
+/// The faults that the test cluster injected: killed and paused processes and faulty network paths. Checkers
+/// excuse what follows from them.
 #[derive(Default)]
 pub struct FaultTimeline {
-    /// When a balancer's process was killed, ended or stood still, and until when.
+    /// The intervals in which a balancer's process was dead or paused.
     process_outages: BTreeMap<String, Intervals>,
     path_faults: BTreeMap<(String, String), Intervals>,
-    /// How many faults are on a way now.
+    /// The number of faults that a network path has now.
     active_path_faults: BTreeMap<(String, String), usize>,
-    /// How late the test cluster was at the worst.
+    /// The largest delay of the test cluster itself.
     pub max_lateness: Micros,
 }
 
-fn open_interval(of: &mut Intervals, at: Micros) {
-    if of.last().is_none_or(|(_, end)| end.is_some()) {
-        of.push((at, None));
+fn open_interval(intervals: &mut Intervals, at: Micros) {
+    if intervals.last().is_none_or(|(_, end)| end.is_some()) {
+        intervals.push((at, None));
     }
 }
 
-fn close_interval(of: &mut Intervals, at: Micros) {
-    if let Some((_, end)) = of.last_mut() {
+fn close_interval(intervals: &mut Intervals, at: Micros) {
+    if let Some((_, end)) = intervals.last_mut() {
         end.get_or_insert(at);
     }
 }
 
-fn overlaps(of: Option<&Intervals>, from: Micros, to: Micros) -> bool {
-    of.is_some_and(|of| of.iter().any(|(begin, end)| *begin <= to && end.is_none_or(|end| end >= from)))
+fn overlaps(intervals: Option<&Intervals>, from: Micros, to: Micros) -> bool {
+    let is_within =
+        |(begin, end): &(Micros, Option<Micros>)| *begin <= to && end.is_none_or(|end| end >= from);
+    intervals.is_some_and(|intervals| intervals.iter().any(is_within))
 }
 
 impl FaultTimeline {
     fn on_event(&mut self, at: Micros, event: &Event) {
         match event {
             Event::Process { node, did, .. } => {
-                let troubles = self.process_outages.entry(node.clone()).or_default();
+                let outages = self.process_outages.entry(node.clone()).or_default();
                 match did {
                     ProcessChange::Killed | ProcessChange::Exited(_) | ProcessChange::Paused => {
-                        open_interval(troubles, at)
+                        open_interval(outages, at)
                     }
-                    ProcessChange::Started | ProcessChange::Resumed => close_interval(troubles, at),
+                    ProcessChange::Started | ProcessChange::Resumed => close_interval(outages, at),
                     ProcessChange::Ready | ProcessChange::Terminated | ProcessChange::DidNotExit => {}
                 }
             }
             Event::Fault { ways, over, .. } => {
-                for way in ways {
-                    let of = self.path_faults.entry(way.clone()).or_default();
-                    let count = self.active_path_faults.entry(way.clone()).or_default();
+                for path in ways {
+                    let intervals = self.path_faults.entry(path.clone()).or_default();
+                    let count = self.active_path_faults.entry(path.clone()).or_default();
                     *count = if *over { count.saturating_sub(1) } else { *count + 1 };
-                    // The last of those that overlap mends it.
-                    if *count == 0 { close_interval(of, at) } else { open_interval(of, at) }
+                    // A path is healed when the last of its overlapping faults ends.
+                    if *count == 0 { close_interval(intervals, at) } else { open_interval(intervals, at) }
                 }
             }
             _ => {}
         }
     }
 
-    /// Whether this balancer's process was killed, or stood still, at any time from then to then.
+    /// Returns true if this balancer's process was dead or paused at any time between `from` and `to`.
     pub fn had_process_outage(&self, node: &str, from: Micros, to: Micros) -> bool {
         overlaps(self.process_outages.get(node), from, to)
     }
 
-    /// Whether any way from or to it was bad.
+    /// Returns true if any path from or to this balancer was faulty in this time.
     pub fn had_path_fault(&self, node: &str, from: Micros, to: Micros) -> bool {
-        self.path_faults.iter().any(|((a, b), of)| (a == node || b == node) && overlaps(Some(of), from, to))
+        self.path_faults
+            .iter()
+            .any(|((a, b), intervals)| (a == node || b == node) && overlaps(Some(intervals), from, to))
     }
 
-    /// Neither its process nor any way from or to it was in trouble.
+    /// Returns true if neither this balancer's process nor any path from or to it had a fault in this time.
     pub fn was_undisturbed(&self, node: &str, from: Micros, to: Micros) -> bool {
         !self.had_process_outage(node, from, to) && !self.had_path_fault(node, from, to)
     }
 
-    /// How many were not.
+    /// Returns how many of these balancers had a fault in this time.
     pub fn disturbed_count<'a>(
         &self,
         names: impl Iterator<Item = &'a String>,
@@ -143,76 +155,82 @@
     }
 
     fn had_path_fault_between(&self, a: &str, b: &str, from: Micros, to: Micros) -> bool {
-        let bad =
+        let is_faulty =
             |a: &str, b: &str| overlaps(self.path_faults.get(&(a.to_string(), b.to_string())), from, to);
-        bad(a, b) || bad(b, a)
+        is_faulty(a, b) || is_faulty(b, a)
     }
 
+    /// Returns true if the path between the clients and this balancer was faulty in this time.
     pub fn had_client_path_fault(&self, node: &str, from: Micros, to: Micros) -> bool {
         self.had_path_fault_between(CLIENTS, node, from, to)
     }
 
+    /// Returns true if the path between discovery and this balancer was faulty in this time.
     pub fn had_discovery_path_fault(&self, node: &str, from: Micros, to: Micros) -> bool {
         self.had_path_fault_between(DISCOVERY, node, from, to)
     }
 
+    /// Returns the tolerance for timed rules in this run.
     pub fn slack(&self) -> Micros {
         SLACK + self.max_lateness
     }
 }
 
-/// Lets every checker read a history.
-pub fn check_history(script: &Scenario, history: &History) -> Vec<Finding> {
+/// Runs all checkers on the history of a scenario; returns the violations in order of their times.
+pub fn check_history(scenario: &Scenario, history: &History) -> Vec<Violation> {
     let mut checkers: Vec<Box<dyn Checker>> = vec![
         Box::<responses::ResponseChecker>::default(),
         Box::<attempts::AttemptChecker>::default(),
         Box::<drain_notices::DrainNoticeChecker>::default(),
-        Box::new(slow_start::SlowStartChecker::new(script)),
+        Box::new(slow_start::SlowStartChecker::new(scenario)),
         Box::<processes::ProcessChecker>::default(),
-        Box::new(staleness::StalenessChecker::new(script)),
-        Box::new(member_counts::MemberCountChecker::new(script)),
-        Box::new(permits::PermitChecker::new(script)),
-        Box::new(fleet_limits::FleetLimitChecker::new(script)),
-        Box::new(operator_overrides::OperatorOverrideChecker::new(script)),
+        Box::new(staleness::StalenessChecker::new(scenario)),
+        Box::new(member_counts::MemberCountChecker::new(scenario)),
+        Box::new(permits::PermitChecker::new(scenario)),
+        Box::new(fleet_limits::FleetLimitChecker::new(scenario)),
+        Box::new(operator_overrides::OperatorOverrideChecker::new(scenario)),
     ];
-    let (mut world, mut found) = (FaultTimeline::default(), Findings::default());
-    // How late the test cluster was belongs to what came before it.
+    let (mut timeline, mut violations) = (FaultTimeline::default(), Violations::default());
+    // A delay is recorded after it occurred, so the largest is needed before the first event is checked.
     for line in &history.lines {
         if let Event::HarnessLate { by } = line.event {
-            world.max_lateness = world.max_lateness.max(by);
+            timeline.max_lateness = timeline.max_lateness.max(by);
         }
     }
     for line in &history.lines {
-        world.on_event(line.at, &line.event);
-        checkers.iter_mut().for_each(|checker| checker.on_event(line.at, &line.event, &world, &mut found));
+        timeline.on_event(line.at, &line.event);
+        checkers
+            .iter_mut()
+            .for_each(|checker| checker.on_event(line.at, &line.event, &timeline, &mut violations));
     }
-    // Of a history that was cut off no end is known.
+    // Some rules can only be checked at the end of the run, which a truncated history lacks.
     if !history.is_truncated {
-        checkers.iter_mut().for_each(|checker| checker.on_end(&world, &mut found));
+        checkers.iter_mut().for_each(|checker| checker.on_end(&timeline, &mut violations));
     }
-    found.findings.sort_by_key(|finding| finding.at);
-    found.findings
+    violations.reported.sort_by_key(|violation| violation.at);
+    violations.reported
 }
 
-/// The most work that a warming endpoint got in a window, as a part of what it bears then; 0 where none was cold.
-pub fn peak_slow_start_ratio(script: &Scenario, history: &History) -> f64 {
-    let (mut parts, mut found) = (slow_start::SlowStartChecker::new(script), Findings::default());
-    let world = FaultTimeline::default();
-    history.lines.iter().for_each(|line| parts.on_event(line.at, &line.event, &world, &mut found));
-    parts.peak_ratio()
+/// Returns the largest ratio, over all windows, of the work that a warming endpoint received to the work that
+/// it was allowed; 0 if no endpoint started cold.
+pub fn peak_slow_start_ratio(scenario: &Scenario, history: &History) -> f64 {
+    let (mut checker, mut violations) = (slow_start::SlowStartChecker::new(scenario), Violations::default());
+    let timeline = FaultTimeline::default();
+    history.lines.iter().for_each(|line| checker.on_event(line.at, &line.event, &timeline, &mut violations));
+    checker.peak_ratio()
 }
 
-/// How near what got through came to the bound of the limit, as a part of what may be beyond the rate, at the nearest; and
-/// the part of the limit that was used in these times.
-pub fn limit_usage(script: &Scenario, history: &History, from: Micros, to: Micros) -> (f64, f64) {
-    let (mut limited, mut found, mut world) =
-        (fleet_limits::FleetLimitChecker::new(script), Findings::default(), FaultTimeline::default());
+/// Returns how much of the allowed overshoot over the fleet's limit was used at most, and how much of the
+/// limit was used from `from` to `to`, both as ratios.
+pub fn limit_usage(scenario: &Scenario, history: &History, from: Micros, to: Micros) -> (f64, f64) {
+    let (mut checker, mut violations, mut timeline) =
+        (fleet_limits::FleetLimitChecker::new(scenario), Violations::default(), FaultTimeline::default());
     for line in &history.lines {
-        world.on_event(line.at, &line.event);
-        limited.on_event(line.at, &line.event, &world, &mut found);
+        timeline.on_event(line.at, &line.event);
+        checker.on_event(line.at, &line.event, &timeline, &mut violations);
     }
-    limited.on_end(&world, &mut found);
-    (limited.nearest(), limited.usage(from, to))
+    checker.on_end(&timeline, &mut violations);
+    (checker.peak_overshoot_ratio(), checker.usage(from, to))
 }
 
 #[cfg(test)]
--- a/crates/process-tests/src/checkers/attempts.rs
+++ b/crates/process-tests/src/checkers/attempts.rs
@@ -1,11 +1,12 @@
-//! Rule 2, and of rule 1 that nothing is sent for a request after its end: what endpoints got of each request, and what they did.
+//! Checks the attempts of each request: endpoints receive it unaltered, in time, not too often, and repeated
+//! only as its class allows.
 
 use std::collections::BTreeMap;
 
 use doorproxy_test_servers::clock::Micros;
 use doorproxy_test_servers::events::{DEDUP_WINDOW, Event, RequestClass};
 
-use super::{Checker, FaultTimeline, Findings};
+use super::{Checker, FaultTimeline, Violations};
 use crate::cluster::MAX_ATTEMPTS;
 
 struct Attempt {
@@ -27,134 +28,145 @@
     attempts: Vec<Attempt>,
 }
 
+/// Checks the attempts that endpoints received against the requests that clients sent.
 #[derive(Default)]
 pub struct AttemptChecker {
     requests: BTreeMap<u64, RequestRecord>,
 }
 
 impl AttemptChecker {
-    fn on_attempt(&mut self, at: Micros, event: &Event, world: &FaultTimeline, found: &mut Findings) {
+    fn on_attempt(
+        &mut self,
+        at: Micros,
+        event: &Event,
+        timeline: &FaultTimeline,
+        violations: &mut Violations,
+    ) {
         let Event::AttemptReceived { op: id, server, start, node, first_byte, right } = event else { return };
-        let Some(op) = self.requests.get_mut(id) else {
-            found.report(
-                "unknown-op",
-                at,
-                format!("{server} got op {id:x} from {node}, which no client sent"),
-            );
+        let Some(request) = self.requests.get_mut(id) else {
+            let text = format!("{server} received request {id:x} from {node}, but no client sent it");
+            violations.report("unknown-op", at, text);
             return;
         };
-        let mut broken = |rule, text: &str| {
-            found.report(rule, at, format!("op {id:x} ({:?}) from {node} {text} {server}", op.class))
+        let mut report = |rule, text: &str| {
+            violations.report(rule, at, format!("request {id:x} ({:?}) at {node}: {text}", request.class))
         };
         if !*right {
-            broken("altered-op", "is not what its client sent, at");
+            report("altered-op", &format!("the attempt at {server} differs from the client's request"));
         }
-        if *node != op.node {
-            broken("unknown-op", &format!("was sent to {} and came to", op.node));
+        if *node != request.node {
+            let text =
+                format!("the client sent it to {}, but {server} received it from {node}", request.node);
+            report("unknown-op", &text);
         }
-        let slack = world.slack();
-        // How soon a balancer hears of an end depends on the way; one that stands still does nothing.
-        let was_cut = world.had_client_path_fault(node, op.asked_at, *first_byte);
-        if let Some(ended) = op.ended_at.filter(|ended| *first_byte > ended + slack && !was_cut) {
-            broken(
-                "push-after-answer",
-                &format!("went, {} ms after its end, to", (first_byte - ended) / 1000),
-            );
+        let slack = timeline.slack();
+        // A faulty path from the client may delay the balancer's knowledge of the request's end.
+        let client_path_was_faulty = timeline.had_client_path_fault(node, request.asked_at, *first_byte);
+        let ended_at = request.ended_at.filter(|_| !client_path_was_faulty);
+        if let Some(ended_at) = ended_at.filter(|ended_at| *first_byte > ended_at + slack) {
+            let late = (first_byte - ended_at) / 1000;
+            report("push-after-answer", &format!("an attempt went to {server} {late} ms after its end"));
         }
-        let ends = op.sent_at.map(|sent| sent + op.timeout);
-        if ends.is_some_and(|ends| *first_byte > ends + slack) && !was_cut {
-            broken("push-after-ttl", "went, after its time, to");
+        let deadline = request.sent_at.map(|sent_at| sent_at + request.timeout);
+        if deadline.is_some_and(|deadline| *first_byte > deadline + slack) && !client_path_was_faulty {
+            report("push-after-ttl", &format!("an attempt went to {server} after its deadline"));
         }
-        if op.attempts.len() >= MAX_ATTEMPTS {
-            broken("too-many-pushes", "went once more than it may, to");
+        if request.attempts.len() >= MAX_ATTEMPTS {
+            let text = format!(
+                "attempt {} went to {server}, {MAX_ATTEMPTS} are allowed",
+                request.attempts.len() + 1
+            );
+            report("too-many-pushes", &text);
         }
-        for other in &op.attempts {
-            // Proved before this one was written, so that its balancer could know.
-            let is_proved = other.declined_at.is_some_and(|declined| declined <= *first_byte);
+        for other in &request.attempts {
+            // Only a decline before this attempt began can have been known to the balancer.
+            let is_declined = other.declined_at.is_some_and(|declined_at| declined_at <= *first_byte);
             let (first, second) =
                 (other.first_byte_at.min(*first_byte), other.first_byte_at.max(*first_byte));
-            let is_allowed = match op.class {
+            let is_allowed = match request.class {
                 RequestClass::Idempotent => true,
                 RequestClass::Deduplicated => second - first <= DEDUP_WINDOW + slack,
                 RequestClass::NonIdempotent => false,
             };
-            if !is_proved && !is_allowed {
-                broken("repeated", &format!("may have run at {} and went to", other.server));
+            if !is_declined && !is_allowed {
+                let text =
+                    format!("it was repeated at {server} although it may have run at {}", other.server);
+                report("repeated", &text);
             }
         }
         let (server, start, first_byte) = (server.clone(), *start, *first_byte);
-        op.attempts.push(Attempt { server, start, first_byte_at: first_byte, declined_at: None });
+        request.attempts.push(Attempt { server, start, first_byte_at: first_byte, declined_at: None });
     }
 }
 
 impl Checker for AttemptChecker {
-    fn on_event(&mut self, at: Micros, event: &Event, world: &FaultTimeline, found: &mut Findings) {
+    fn on_event(&mut self, at: Micros, event: &Event, timeline: &FaultTimeline, violations: &mut Violations) {
         match event {
             Event::RequestStarted { op, node, kind, ttl, .. } => {
-                let (node, kind, ttl) = (node.clone(), *kind, *ttl);
-                let (ended, status, sent) = (None, None, None);
-                let op_of = RequestRecord {
-                    node,
-                    class: kind,
-                    timeout: ttl,
+                let request = RequestRecord {
+                    node: node.clone(),
+                    class: *kind,
+                    timeout: *ttl,
                     asked_at: at,
-                    sent_at: sent,
-                    ended_at: ended,
-                    status,
+                    sent_at: None,
+                    ended_at: None,
+                    status: None,
                     run_count: 0,
                     attempts: Vec::new(),
                 };
-                self.requests.insert(*op, op_of);
+                self.requests.insert(*op, request);
+            }
+            Event::RequestWritten { op } => {
+                if let Some(request) = self.requests.get_mut(op) {
+                    request.sent_at = Some(at);
+                }
             }
-            Event::RequestWritten { op } => drop(self.requests.get_mut(op).map(|op| op.sent_at = Some(at))),
             Event::ResponseReceived { op, status, .. } => {
-                if let Some(op) = self.requests.get_mut(op) {
-                    op.ended_at.get_or_insert(at);
-                    op.status = Some(*status);
+                if let Some(request) = self.requests.get_mut(op) {
+                    request.ended_at.get_or_insert(at);
+                    request.status = Some(*status);
                 }
             }
             Event::ConnectionLost { op } | Event::ClientAbandoned { op } | Event::ResponseMissing { op } => {
-                if let Some(op) = self.requests.get_mut(op) {
-                    op.ended_at.get_or_insert(at);
+                if let Some(request) = self.requests.get_mut(op) {
+                    request.ended_at.get_or_insert(at);
                 }
             }
-            Event::AttemptReceived { .. } => self.on_attempt(at, event, world, found),
+            Event::AttemptReceived { .. } => self.on_attempt(at, event, timeline, violations),
             Event::Declined { op, server, start } => {
-                let op = self.requests.get_mut(op);
-                let pushes = op.into_iter().flat_map(|op| op.attempts.iter_mut().rev());
-                let mut undeclined = pushes.filter(|push| push.declined_at.is_none());
-                if let Some(push) = undeclined.find(|push| push.server == *server && push.start == *start) {
-                    push.declined_at = Some(at);
+                let request = self.requests.get_mut(op);
+                let attempts = request.into_iter().flat_map(|request| request.attempts.iter_mut().rev());
+                let mut undeclined = attempts.filter(|attempt| attempt.declined_at.is_none());
+                if let Some(attempt) =
+                    undeclined.find(|attempt| attempt.server == *server && attempt.start == *start)
+                {
+                    attempt.declined_at = Some(at);
                 }
             }
             Event::EffectApplied { op: id, server, .. } => {
-                let Some(op) = self.requests.get_mut(id) else { return };
-                op.run_count += 1;
-                // A deduplicated attempt that a way held back may run again past the window: what counts is when it was sent.
-                if op.run_count > 1 && op.class == RequestClass::NonIdempotent {
-                    found.report(
-                        "effect-twice",
-                        at,
-                        format!("op {id:x} ({:?}) ran again, at {server}", op.class),
-                    );
+                let Some(request) = self.requests.get_mut(id) else { return };
+                request.run_count += 1;
+                // A deduplicated attempt that a faulty path delayed may run again after the window without a
+                // fault of the balancer: its rule is checked by the times at which attempts were sent.
+                if request.run_count > 1 && request.class == RequestClass::NonIdempotent {
+                    let text = format!("request {id:x} ({:?}) ran a second time, at {server}", request.class);
+                    violations.report("effect-twice", at, text);
                 }
             }
             _ => {}
         }
     }
 
-    fn on_end(&mut self, _: &FaultTimeline, found: &mut Findings) {
-        for (id, op) in &self.requests {
-            // An attempt may come long after the rejection that must not have been; only the end of the history tells.
-            let may_have_run = op.attempts.iter().any(|push| push.declined_at.is_none());
-            if op.class == RequestClass::NonIdempotent && matches!(op.status, Some(429 | 503)) && may_have_run
-            {
-                let at = op.ended_at.unwrap_or(op.asked_at);
-                found.report(
-                    "nack-after-run",
-                    at,
-                    format!("op {id:x} was nacked by {} though it may have run", op.node),
-                );
+    fn on_end(&mut self, _: &FaultTimeline, violations: &mut Violations) {
+        for (id, request) in &self.requests {
+            // An attempt may arrive long after the rejection, so this is decided at the end of the history.
+            let may_have_run = request.attempts.iter().any(|attempt| attempt.declined_at.is_none());
+            let was_rejected = matches!(request.status, Some(429 | 503));
+            if request.class == RequestClass::NonIdempotent && was_rejected && may_have_run {
+                let at = request.ended_at.unwrap_or(request.asked_at);
+                let text =
+                    format!("request {id:x} was rejected by {} although it may have run", request.node);
+                violations.report("nack-after-run", at, text);
             }
         }
     }
--- a/crates/process-tests/src/checkers/drain_notices.rs
+++ b/crates/process-tests/src/checkers/drain_notices.rs
@@ -1,19 +1,23 @@
-//! Rule 3: nothing new to an endpoint that a balancer has been told is leaving, or that was taken out by hand there.
+//! Checks that a balancer starts no attempt at an endpoint after it was informed that the endpoint is
+//! draining, or after the endpoint was ejected manually there.
 
 use std::collections::BTreeMap;
 
 use doorproxy_test_servers::clock::{Micros, SECOND};
 use doorproxy_test_servers::events::{Event, ProcessChange};
 
-use super::{Checker, FaultTimeline, Findings};
+use super::{Checker, FaultTimeline, Violations};
 
+/// The time after an update in which attempts are still allowed.
 const DRAIN_GRACE: Micros = SECOND;
-/// Told so shortly before a process was stopped, or its way to the list went bad, it may not have read it.
+/// An update sent this shortly before the process was paused, or before its path to discovery failed, may not
+/// have been read.
 const UNREAD_WINDOW: Micros = 500_000;
 
-/// Balancer and endpoint.
+/// The names of a balancer and of an endpoint.
 type BalancerAndEndpoint = (String, String);
 
+/// Checks attempts against the updates and the manual overrides that their balancer received.
 #[derive(Default)]
 pub struct DrainNoticeChecker {
     draining_since: BTreeMap<BalancerAndEndpoint, Micros>,
@@ -22,18 +26,21 @@
 }
 
 impl DrainNoticeChecker {
-    /// What was told to this balancer from `since` on is put off until now: it can't have been read.
+    /// Postpones the updates that this balancer received from `since` on until `now`, since it can't have
+    /// read them.
     fn postpone_unread(&mut self, node: &str, since: Micros, now: Micros) {
-        for of in [&mut self.draining_since, &mut self.manual_ejections] {
-            for ((_, _), told) in of.iter_mut().filter(|((of, _), told)| of == node && **told >= since) {
-                *told = now;
+        for notices in [&mut self.draining_since, &mut self.manual_ejections] {
+            for ((balancer, _), informed_at) in notices {
+                if balancer == node && *informed_at >= since {
+                    *informed_at = now;
+                }
             }
         }
     }
 }
 
 impl Checker for DrainNoticeChecker {
-    fn on_event(&mut self, at: Micros, event: &Event, world: &FaultTimeline, found: &mut Findings) {
+    fn on_event(&mut self, at: Micros, event: &Event, timeline: &FaultTimeline, violations: &mut Violations) {
         match event {
             Event::ListSent { node, whole, rows, .. } => {
                 let listed = self.listed.entry(node.clone()).or_default();
@@ -63,13 +70,14 @@
                     self.manual_ejections.remove(&pair);
                 }
             }
-            // Who is out by hand is kept in the folder, and binds the next process as well.
+            // Manual overrides are stored in the state directory and bind the next process too, unless it was
+            // changed.
             Event::StateDirectoryChanged { node, .. } => {
-                self.manual_ejections.retain(|(of, _), _| of != node)
+                self.manual_ejections.retain(|(balancer, _), _| balancer != node)
             }
             Event::Process { node, did, .. } => match did {
                 ProcessChange::Killed | ProcessChange::Exited(_) => {
-                    self.draining_since.retain(|(of, _), _| of != node);
+                    self.draining_since.retain(|(balancer, _), _| balancer != node);
                     self.listed.remove(node);
                 }
                 ProcessChange::Paused => {
@@ -80,22 +88,26 @@
             },
             Event::AttemptReceived { node, server, first_byte, op, .. } => {
                 let pair = (node.clone(), server.clone());
-                let is_late = |told: &Micros| *first_byte > told + DRAIN_GRACE + world.slack();
-                let mut broken = |rule, told: &Micros| {
-                    let late = (first_byte - told) / 1000;
-                    found.report(
-                        rule,
-                        at,
-                        format!("op {op:x} went to {server} {late} ms after {node} was told"),
+                let is_late =
+                    |informed_at: &Micros| *first_byte > informed_at + DRAIN_GRACE + timeline.slack();
+                let mut report = |rule, reason, informed_at: &Micros| {
+                    let late = (first_byte - informed_at) / 1000;
+                    let text = format!(
+                        "request {op:x} went to {server} {late} ms after {node} was informed of {reason}"
                     );
+                    violations.report(rule, at, text);
                 };
-                if let Some(told) = self.draining_since.get(&pair).filter(|told| is_late(told))
-                    && !world.had_discovery_path_fault(node, told.saturating_sub(UNREAD_WINDOW), *first_byte)
+                if let Some(informed_at) = self.draining_since.get(&pair).filter(|at| is_late(at))
+                    && !timeline.had_discovery_path_fault(
+                        node,
+                        informed_at.saturating_sub(UNREAD_WINDOW),
+                        *first_byte,
+                    )
                 {
-                    broken("drain", told);
+                    report("drain", "its draining", informed_at);
                 }
-                if let Some(out) = self.manual_ejections.get(&pair).filter(|out| is_late(out)) {
-                    broken("ban", out);
+                if let Some(informed_at) = self.manual_ejections.get(&pair).filter(|at| is_late(at)) {
+                    report("ban", "its manual ejection", informed_at);
                 }
             }
             _ => {}
--- a/crates/process-tests/src/checkers/fleet_limits/tests.rs
+++ b/crates/process-tests/src/checkers/fleet_limits/tests.rs
@@ -4,25 +4,25 @@
 
 use super::*;
 
-/// Guards against a checker that finds nothing, or blames a fleet for what a cut allows.
+/// Guards against a checker that misses an overshoot, or reports one that disconnected balancers are allowed.
 #[test]
-fn too_many_in_a_window_are_found_unless_so_many_are_out_of_touch() {
+fn overshoot_is_found_unless_disconnected_balancers_explain_it() {
     let rules = |floor: &str, gap: Micros, killed: &[&str]| {
         let text = format!(
             "seed = 1\nseconds = 9.0\nfleet = {{ balancers = 8, keepers = 3, limit = 10.0{floor} }}\n"
         );
-        let mut limited = FleetLimitChecker::new(&Scenario::parse(&text).unwrap());
-        let (mut world, mut found) = (FaultTimeline::default(), Findings::default());
-        let mut see = |at: Micros, event: Event| {
-            world.on_event(at, &event);
-            limited.on_event(at, &event, &world, &mut found);
+        let mut checker = FleetLimitChecker::new(&Scenario::parse(&text).unwrap());
+        let (mut timeline, mut violations) = (FaultTimeline::default(), Violations::default());
+        let mut observe = |at: Micros, event: Event| {
+            timeline.on_event(at, &event);
+            checker.on_event(at, &event, &timeline, &mut violations);
         };
         let process = |node: &str, did| Event::Process { node: node.to_string(), id: 1, did };
-        see(1, process("n0", ProcessChange::Started));
-        killed.iter().for_each(|node| see(50 * SECOND, process(node, ProcessChange::Killed)));
+        observe(1, process("n0", ProcessChange::Started));
+        killed.iter().for_each(|node| observe(50 * SECOND, process(node, ProcessChange::Killed)));
         for op in 0..40 {
             let (at, node, server) = (60 * SECOND + op * gap, "n1".to_string(), "u0".to_string());
-            see(
+            observe(
                 at,
                 Event::RequestStarted {
                     op,
@@ -33,18 +33,19 @@
                     of: op,
                 },
             );
-            see(
+            observe(
                 at + 9,
                 Event::AttemptReceived { op, server, start: 1, node, first_byte: at + 9, right: true },
             );
         }
-        limited.on_end(&world, &mut found);
-        found.findings.iter().map(|finding| finding.rule).next()
+        checker.on_end(&timeline, &mut violations);
+        violations.reported.iter().map(|violation| violation.rule).next()
     };
-    // 12 a second, in 3.3 s: 6.7 beyond the rate, where 4.8 may be.
+    // 40 requests at 12 per second take 3.3 s: 6.7 over the rate, 4.8 allowed.
     assert_eq!(rules("", SECOND / 12, &[]), Some("over-limit"));
     assert_eq!(rules("", SECOND / 10, &[]), None);
-    // Whoever is out of touch has a floor; with a keeper in trouble it may be all of them, and strict allows none.
+    // A disconnected balancer admits its fallback rate. A fault of a registry replica may disconnect all
+    // balancers. A strict limit has no fallback rate.
     assert_eq!(rules(", floor = 1.0", SECOND / 12, &[]), Some("over-limit"));
     assert_eq!(rules(", floor = 1.0", SECOND / 12, &["n7"]), None);
     assert_eq!(rules(", floor = 1.0", SECOND / 18, &["n7"]), Some("over-limit"));
--- a/crates/process-tests/src/checkers/member_counts.rs
+++ b/crates/process-tests/src/checkers/member_counts.rs
@@ -1,31 +1,34 @@
-//! That no balancer takes its part among fewer than send beside it. How many it counts is its own word, asked for by name; who
-//! runs, undisturbed, is what the test cluster knows.
+//! Checks that no balancer divides the fleet's capacity by fewer balancers than send requests. The member
+//! count is the balancer's own report; which balancers run undisturbed is known to the test cluster.
 
 use std::collections::BTreeMap;
 
 use doorproxy_test_servers::clock::{Micros, SECOND};
 use doorproxy_test_servers::events::{Event, ProcessChange};
 
-use super::{Checker, FaultTimeline, Findings};
+use super::{Checker, FaultTimeline, Violations};
 use crate::scenario::Scenario;
 
-/// So many times the time after which one cuts its part, and a few seconds: by then whoever runs undisturbed is counted.
+/// By this multiple of the time after which a balancer reduces its share, plus two seconds, every balancer
+/// that runs undisturbed is counted.
 const SETTLE_FACTOR: f64 = 6.0;
 
+/// Checks the member counts that balancers report.
 pub struct MemberCountChecker {
     settle_time: Micros,
     started_at: BTreeMap<String, Option<Micros>>,
 }
 
 impl MemberCountChecker {
-    pub fn new(script: &Scenario) -> MemberCountChecker {
-        let settle_time = (script.fleet.cut_after_s * SETTLE_FACTOR * SECOND as f64) as Micros + 2 * SECOND;
+    /// Returns a checker for the settings of this scenario.
+    pub fn new(scenario: &Scenario) -> MemberCountChecker {
+        let settle_time = (scenario.fleet.cut_after_s * SETTLE_FACTOR * SECOND as f64) as Micros + 2 * SECOND;
         MemberCountChecker { settle_time, started_at: BTreeMap::new() }
     }
 }
 
 impl Checker for MemberCountChecker {
-    fn on_event(&mut self, at: Micros, event: &Event, world: &FaultTimeline, found: &mut Findings) {
+    fn on_event(&mut self, at: Micros, event: &Event, timeline: &FaultTimeline, violations: &mut Violations) {
         match event {
             Event::Process { node, did, .. } => match did {
                 ProcessChange::Started => {
@@ -40,18 +43,17 @@
                 let from = asked.saturating_sub(self.settle_time);
                 let is_settled = |other: &str, started: &Option<Micros>| {
                     started.is_some_and(|started| started < from)
-                        && !world.had_process_outage(other, from, at)
-                        && !world.had_path_fault(other, from, at)
+                        && !timeline.had_process_outage(other, from, at)
+                        && !timeline.had_path_fault(other, from, at)
                 };
                 let others = self
                     .started_at
                     .iter()
                     .filter(|(name, started)| *name != node && is_settled(name, started));
-                let true_number = others.count() as u32 + 1;
-                if *among < true_number {
-                    let text =
-                        format!("{node} takes its part among {among}, and {true_number} push undisturbed");
-                    found.report("undercounted", at, text);
+                let running = others.count() as u32 + 1;
+                if *among < running {
+                    let text = format!("{node} counts {among} members, but {running} run undisturbed");
+                    violations.report("undercounted", at, text);
                 }
             }
             _ => {}
--- a/crates/process-tests/src/checkers/processes.rs
+++ b/crates/process-tests/src/checkers/processes.rs
@@ -1,16 +1,17 @@
-//! That processes run, end when asked to, serve again when all is well, and call the list no more than their settings let
-//! them.
+//! Checks that processes don't crash, end when asked to, serve again after all faults, and don't call
+//! discovery too often.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use doorproxy_test_servers::clock::{Micros, SECOND};
 use doorproxy_test_servers::events::{Event, ProcessChange};
 
-use super::{Checker, FaultTimeline, Findings};
+use super::{Checker, FaultTimeline, Violations};
 
-/// A balancer leaves 100 ms between calls; a list that fails is asked again after more.
+/// A balancer waits at least 100 ms between two calls of discovery, and longer after a failed one.
 const MAX_CALLS_PER_SECOND: usize = 15;
 
+/// Checks the balancers' processes.
 #[derive(Default)]
 pub struct ProcessChecker {
     asked_to_terminate: BTreeSet<u32>,
@@ -18,20 +19,20 @@
 }
 
 impl Checker for ProcessChecker {
-    fn on_event(&mut self, at: Micros, event: &Event, _: &FaultTimeline, found: &mut Findings) {
+    fn on_event(&mut self, at: Micros, event: &Event, _: &FaultTimeline, violations: &mut Violations) {
         match event {
             Event::Process { node, id, did } => match did {
                 ProcessChange::Terminated => drop(self.asked_to_terminate.insert(*id)),
-                // Two of one name at once: the second finds the address taken, says so, and ends.
+                // A duplicate process finds the address in use, logs that and exits with 1.
                 ProcessChange::Exited(1) if node.ends_with('+') => {}
                 ProcessChange::Exited(code) => {
                     let was_asked = self.asked_to_terminate.remove(id);
                     if !was_asked || *code != 0 {
-                        found.report("crash", at, format!("{node} ended with {code}"));
+                        violations.report("crash", at, format!("{node} exited with code {code}"));
                     }
                 }
                 ProcessChange::DidNotExit => {
-                    found.report("never-ended", at, format!("{node} was asked to end and did not"))
+                    violations.report("never-ended", at, format!("{node} was asked to end and did not exit"))
                 }
                 ProcessChange::Started => drop(self.discovery_calls.remove(node)),
                 _ => {}
@@ -43,15 +44,19 @@
                     calls.pop_front();
                 }
                 if calls.len() > MAX_CALLS_PER_SECOND {
-                    found.report(
+                    violations.report(
                         "list-loop",
                         at,
-                        format!("{node} called the list {} times in a second", calls.len()),
+                        format!("{node} called discovery {} times within a second", calls.len()),
                     );
                 }
             }
             Event::BalancerStuck { node } => {
-                found.report("no-progress", at, format!("{node} served nothing though all faults were over"));
+                violations.report(
+                    "no-progress",
+                    at,
+                    format!("{node} served no request although all faults were over"),
+                );
             }
             _ => {}
         }
--- a/crates/process-tests/src/checkers/responses.rs
+++ b/crates/process-tests/src/checkers/responses.rs
@@ -1,13 +1,14 @@
-//! Rule 1: every request taken gets exactly one final answer in its time, one that an endpoint made for it.
+//! Checks that every request that a balancer accepts gets exactly one response, in time, and that a
+//! successful response was made for this request by an endpoint that received it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use doorproxy_test_servers::clock::{Micros, SECOND};
 use doorproxy_test_servers::events::Event;
 
-use super::{Checker, FaultTimeline, Findings};
+use super::{Checker, FaultTimeline, Violations};
 
-/// Later than this after its time, an answer is late on any schedule.
+/// A response that is this late after the deadline is a violation on any schedule.
 const MAX_RESPONSE_DELAY: Micros = 5 * SECOND;
 
 struct PendingRequest {
@@ -15,92 +16,99 @@
     asked_at: Micros,
     timeout: Micros,
     sent_at: Option<Micros>,
-    /// Endpoints that got it whole, as an answer names them.
+    /// The endpoints that received a complete attempt, as `NAME#START`, which is how response bodies name
+    /// them.
     received_by: BTreeSet<String>,
 }
 
+/// Checks the responses that clients received.
 #[derive(Default)]
 pub struct ResponseChecker {
     requests: BTreeMap<u64, PendingRequest>,
 }
 
 impl ResponseChecker {
-    /// The request is over for its client, and was one of a balancer that nothing happened to.
-    fn take_unexcused(&mut self, op: u64, at: Micros, world: &FaultTimeline) -> Option<PendingRequest> {
-        let op = self.requests.remove(&op)?;
-        let is_excused = world.had_process_outage(&op.node, op.asked_at, at)
-            || world.had_client_path_fault(&op.node, op.asked_at, at);
-        (!is_excused).then_some(op)
+    /// Removes a request that ended, and returns it unless a fault of its balancer or of the path between
+    /// them excuses it.
+    fn take_unexcused(&mut self, op: u64, at: Micros, timeline: &FaultTimeline) -> Option<PendingRequest> {
+        let request = self.requests.remove(&op)?;
+        let is_excused = timeline.had_process_outage(&request.node, request.asked_at, at)
+            || timeline.had_client_path_fault(&request.node, request.asked_at, at);
+        (!is_excused).then_some(request)
     }
 }
 
 impl Checker for ResponseChecker {
-    fn on_event(&mut self, at: Micros, event: &Event, world: &FaultTimeline, found: &mut Findings) {
+    fn on_event(&mut self, at: Micros, event: &Event, timeline: &FaultTimeline, violations: &mut Violations) {
         match event {
             Event::RequestStarted { op, node, ttl, .. } if !node.is_empty() => {
-                let (node, ttl) = (node.clone(), *ttl);
-                self.requests.insert(
-                    *op,
-                    PendingRequest {
-                        node,
-                        asked_at: at,
-                        timeout: ttl,
-                        sent_at: None,
-                        received_by: BTreeSet::new(),
-                    },
-                );
+                let request = PendingRequest {
+                    node: node.clone(),
+                    asked_at: at,
+                    timeout: *ttl,
+                    sent_at: None,
+                    received_by: BTreeSet::new(),
+                };
+                self.requests.insert(*op, request);
+            }
+            Event::RequestWritten { op } => {
+                if let Some(request) = self.requests.get_mut(op) {
+                    request.sent_at = Some(at);
+                }
             }
-            Event::RequestWritten { op } => drop(self.requests.get_mut(op).map(|op| op.sent_at = Some(at))),
             Event::AttemptReceived { op, server, start, .. } => {
-                if let Some(op) = self.requests.get_mut(op) {
-                    op.received_by.insert(format!("{server}#{start}"));
+                if let Some(request) = self.requests.get_mut(op) {
+                    request.received_by.insert(format!("{server}#{start}"));
                 }
             }
             Event::ResponseReceived { op: id, status, by } => {
-                let is_made = |op: &PendingRequest| by.as_ref().is_some_and(|by| op.received_by.contains(by));
-                // Nothing that the test cluster does makes an answer out of nothing.
-                if let Some(op) = self.requests.get(id).filter(|op| *status == 200 && !is_made(op)) {
+                let has_source =
+                    |request: &PendingRequest| by.as_ref().is_some_and(|by| request.received_by.contains(by));
+                // No fault excuses this: none that the test cluster injects makes up a response.
+                let request = self.requests.get(id);
+                if let Some(request) = request.filter(|request| *status == 200 && !has_source(request)) {
                     let text = format!(
-                        "op {id:x} at {} was answered {by:?}, which no upstream made for it",
-                        op.node
+                        "the response to request {id:x} at {} names {by:?}, which received no attempt of it",
+                        request.node
                     );
-                    found.report("wrong-answer", at, text);
+                    violations.report("wrong-answer", at, text);
                 }
-                let Some(op) = self.take_unexcused(*id, at, world) else { return };
-                let ends = op.sent_at.unwrap_or(op.asked_at) + op.timeout;
-                if at > ends + MAX_RESPONSE_DELAY {
+                let Some(request) = self.take_unexcused(*id, at, timeline) else { return };
+                let deadline = request.sent_at.unwrap_or(request.asked_at) + request.timeout;
+                if at > deadline + MAX_RESPONSE_DELAY {
+                    let late = (at - deadline) / 1000;
                     let text = format!(
-                        "op {id:x} at {} was answered {} ms after its time",
-                        op.node,
-                        (at - ends) / 1000
+                        "request {id:x} at {} was answered {late} ms after its deadline",
+                        request.node
                     );
-                    found.report("late-answer", at, text);
+                    violations.report("late-answer", at, text);
                 }
                 if matches!(status, 400..=499) && *status != 429 {
-                    found.report(
-                        "turned-away",
-                        at,
-                        format!("op {id:x} at {} was answered {status}", op.node),
-                    );
+                    let text = format!("request {id:x} at {} was answered with {status}", request.node);
+                    violations.report("turned-away", at, text);
                 }
             }
             Event::ConnectionLost { op: id } => {
-                let Some(op) = self.take_unexcused(*id, at, world) else { return };
-                // A balancer may close an idle connection in the moment in which a request is written to it.
-                if !op.received_by.is_empty() {
-                    let text =
-                        format!("op {id:x} at {} reached {:?} and got no answer", op.node, op.received_by);
-                    found.report("unanswered", at, text);
+                let Some(request) = self.take_unexcused(*id, at, timeline) else { return };
+                // Without an attempt this is no violation: a balancer may close an idle connection just when
+                // a request is written to it.
+                if !request.received_by.is_empty() {
+                    let text = format!(
+                        "request {id:x} at {} reached {:?} and got no response",
+                        request.node, request.received_by
+                    );
+                    violations.report("unanswered", at, text);
                 }
             }
             Event::ResponseMissing { op: id } => {
-                if let Some(op) = self.take_unexcused(*id, at, world) {
-                    found.report("unanswered", at, format!("op {id:x} at {} got no answer", op.node));
+                if let Some(request) = self.take_unexcused(*id, at, timeline) {
+                    let text = format!("request {id:x} at {} got no response", request.node);
+                    violations.report("unanswered", at, text);
                 }
             }
             Event::ClientAbandoned { op } => drop(self.requests.remove(op)),
             Event::ExtraBytes { op } => {
-                found.report("second-answer", at, format!("op {op:x} got more than one answer"));
+                violations.report("second-answer", at, format!("request {op:x} got more than one response"));
             }
             _ => {}
         }
--- a/crates/process-tests/src/checkers/staleness.rs
+++ b/crates/process-tests/src/checkers/staleness.rs
@@ -1,32 +1,34 @@
-//! That nothing old is acted on for long: a balancer that can ask the list follows it within the time that the settings allow,
-//! whatever it knew when it started.
+//! Checks that a balancer that can reach discovery follows the endpoint list within the time that its
+//! settings allow, whatever it knew when it started.
 
 use std::collections::BTreeMap;
 
 use doorproxy_test_servers::clock::{Micros, SECOND};
 use doorproxy_test_servers::events::{Event, ProcessChange};
 
-use super::{Checker, FaultTimeline, Findings};
+use super::{Checker, FaultTimeline, Violations};
 use crate::scenario::Scenario;
 
+/// Checks attempts against the endpoint list at that time.
 pub struct StalenessChecker {
-    /// From when on what the list says binds one that could have asked: the time that the settings give.
+    /// The time within which a balancer must follow a change, from its settings.
     max_staleness: Micros,
-    /// Since when the list calls an endpoint something else than active.
+    /// By endpoint, when its listed state changed from active to another one.
     draining_since: BTreeMap<String, Micros>,
-    /// Since when a balancer's process runs without a break.
+    /// By balancer, when its process was started or resumed last.
     running_since: BTreeMap<String, Micros>,
 }
 
 impl StalenessChecker {
-    pub fn new(script: &Scenario) -> StalenessChecker {
-        let max_staleness = (script.fleet.ask_within_s * SECOND as f64) as Micros;
+    /// Returns a checker for the settings of this scenario.
+    pub fn new(scenario: &Scenario) -> StalenessChecker {
+        let max_staleness = (scenario.fleet.ask_within_s * SECOND as f64) as Micros;
         StalenessChecker { max_staleness, draining_since: BTreeMap::new(), running_since: BTreeMap::new() }
     }
 }
 
 impl Checker for StalenessChecker {
-    fn on_event(&mut self, at: Micros, event: &Event, world: &FaultTimeline, found: &mut Findings) {
+    fn on_event(&mut self, at: Micros, event: &Event, timeline: &FaultTimeline, violations: &mut Violations) {
         match event {
             Event::EndpointListed { server, state } => {
                 if state == "active" {
@@ -39,20 +41,21 @@
                 self.running_since.insert(node.clone(), at);
             }
             Event::AttemptReceived { op, server, node, first_byte, .. } => {
-                let (Some(left), Some(running)) =
+                let (Some(draining), Some(running)) =
                     (self.draining_since.get(server), self.running_since.get(node))
                 else {
                     return;
                 };
-                // A process that has just started is given the same time to ask as one that runs.
-                let since = (*left).max(*running);
-                let most = since + self.max_staleness + world.slack();
-                if *first_byte > most && !world.had_discovery_path_fault(node, since, *first_byte) {
+                // A process that has just started has the same time to call discovery as one that runs.
+                let since = (*draining).max(*running);
+                let latest = since + self.max_staleness + timeline.slack();
+                if *first_byte > latest && !timeline.had_discovery_path_fault(node, since, *first_byte) {
                     let late = (first_byte - since) / 1000;
                     let text = format!(
-                        "op {op:x} went to {server}, which the list calls leaving, {late} ms after {node} could ask"
+                        "request {op:x} went to {server}, which the list does not call active, {late} ms \
+                         after {node} could call discovery"
                     );
-                    found.report("stale", at, text);
+                    violations.report("stale", at, text);
                 }
             }
             _ => {}
--- a/crates/process-tests/src/checkers/tests.rs
+++ b/crates/process-tests/src/checkers/tests.rs
@@ -2,14 +2,15 @@
 
 use super::*;
 
-/// Guards against a balancer that is blamed for a way that was still bad: two faults on it, and one of them is over.
+/// Guards against a violation that follows from a faulty path: of two overlapping faults on it, only one has
+/// ended.
 #[test]
-fn a_way_is_mended_by_the_last_of_its_faults() {
-    let mut world = FaultTimeline::default();
+fn path_is_healed_when_its_last_fault_ends() {
+    let mut timeline = FaultTimeline::default();
     let ways = vec![(CLIENTS.to_string(), "n0".to_string())];
     for (at, over) in [(10, false), (20, false), (30, true), (50, true)] {
-        world.on_event(at, &Event::Fault { text: String::new(), ways: ways.clone(), over });
+        timeline.on_event(at, &Event::Fault { text: String::new(), ways: ways.clone(), over });
     }
-    let was_cut = |from, to| world.had_client_path_fault("n0", from, to);
-    assert!(!was_cut(0, 9) && was_cut(40, 45) && !was_cut(51, 60));
+    let was_faulty = |from, to| timeline.had_client_path_fault("n0", from, to);
+    assert!(!was_faulty(0, 9) && was_faulty(40, 45) && !was_faulty(51, 60));
 }
--- a/crates/process-tests/src/cluster.rs
+++ b/crates/process-tests/src/cluster.rs
@@ -24,7 +24,7 @@
 use tokio::task::{JoinHandle, JoinSet};
 
 use crate::admin_client::poll_member_counts;
-use crate::checkers::{self, Finding};
+use crate::checkers::{self, Violation};
 use crate::fault_proxy::FaultProxy;
 use crate::history::{self, History, HistoryWriter};
 use crate::lateness::LatenessMonitor;
@@ -89,7 +89,7 @@
     /// What happened.
     pub history: History,
     /// The rules that broke, and how.
-    pub findings: Vec<Finding>,
+    pub findings: Vec<Violation>,
     /// How late the harness ran at the worst; a measurement with more than [`MAX_LATENESS`] is void.
     pub max_lateness: Micros,
     /// When the load began and ended.
@@ -99,7 +99,7 @@
 impl RunReport {
     /// The rules that broke, each once.
     pub fn broken_rules(&self) -> BTreeSet<&'static str> {
-        self.findings.iter().map(|finding| finding.rule).collect()
+        self.findings.iter().map(|violation| violation.rule).collect()
     }
 }
 
