--- a/crates/process-tests/src/addresses.rs
+++ b/crates/process-tests/src/addresses.rs
@@ -1,13 +1,16 @@
-//! Who takes part in a run, and where on loopback each stands. It owns the block of addresses of one test cluster, and must never
-//! use one that another test cluster has.
+//! The names and loopback addresses of the processes of a test cluster. Each test cluster claims a block of
+//! addresses that no other one on the machine uses.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 
-/// More than these do not fit into a block.
+/// The largest number of balancers for which an address block has room.
 pub const MAX_BALANCERS: usize = 100;
+/// The largest number of endpoints for which an address block has room.
 pub const MAX_UPSTREAMS: usize = 90;
 
+/// The name of the discovery service.
 pub const DISCOVERY: &str = "list";
+/// The name of the clients, which share one address.
 pub const CLIENTS: &str = "clients";
 
 const SERVICE_PORT: u16 = 5000;
@@ -17,20 +20,22 @@
 const FIRST_PROXY_PORT: u16 = 6000;
 const PEER_PROXY_PORT: u16 = 5003;
 
-/// Half of all stand in the east, half in the west.
-pub fn zone(place: usize) -> &'static str {
-    if place.is_multiple_of(2) { "east" } else { "west" }
+/// Returns the zone of a balancer or endpoint; the zones alternate.
+pub fn zone(index: usize) -> &'static str {
+    if index.is_multiple_of(2) { "east" } else { "west" }
 }
 
-pub fn balancer_name(place: usize) -> String {
-    format!("n{place}")
+/// Returns the name of a balancer.
+pub fn balancer_name(index: usize) -> String {
+    format!("n{index}")
 }
 
-pub fn upstream_name(place: usize) -> String {
-    format!("u{place}")
+/// Returns the name of an endpoint.
+pub fn upstream_name(index: usize) -> String {
+    format!("u{index}")
 }
 
-/// Addresses 127.A.B.0 to 127.A.B.255, claimed by a listener for as long as the test cluster stands.
+/// The addresses 127.A.B.0 to 127.A.B.255, which a listener claims until this is dropped.
 pub struct AddressBlock {
     high: u8,
     low: u8,
@@ -38,24 +43,25 @@
 }
 
 impl AddressBlock {
-    /// The first block from here on that nobody else has.
+    /// Claims the first free block, counted from one that depends on the process id.
     ///
     /// # Errors
-    /// Where all are taken.
+    ///
+    /// Fails if all blocks are in use.
     pub fn claim() -> Result<AddressBlock, String> {
         let first = std::process::id() as u16;
-        // 127.0 is what everybody else on the machine uses.
-        for place in (0..0x7e00_u16).map(|more| 0x0100 + first.wrapping_add(more) % 0x7e00) {
-            let [high, low] = place.to_be_bytes();
+        // 127.0.x.x is left out because other programs on the machine use it.
+        for block in (0..0x7e00_u16).map(|offset| 0x0100 + first.wrapping_add(offset) % 0x7e00) {
+            let [high, low] = block.to_be_bytes();
             if let Ok(claim) = TcpListener::bind((Ipv4Addr::new(127, high, low, 1), CLAIM_PORT)) {
                 return Ok(AddressBlock { high, low, _claim: claim });
             }
         }
-        Err("no free block of addresses in 127.0.0.0/8".to_string())
+        Err("127.0.0.0/8: no block of 256 addresses is free".to_string())
     }
 
-    fn ip(&self, place: u8) -> Ipv4Addr {
-        Ipv4Addr::new(127, self.high, self.low, place)
+    fn ip(&self, host_number: u8) -> Ipv4Addr {
+        Ipv4Addr::new(127, self.high, self.low, host_number)
     }
 
     fn host_number(name: &str) -> Option<u8> {
@@ -70,40 +76,43 @@
     }
 
     fn host_address(&self, name: &str) -> (Ipv4Addr, u8) {
-        let place = AddressBlock::host_number(name).expect("a party's name");
-        (self.ip(place), place)
+        let host_number = AddressBlock::host_number(name).expect("the name of a process of the test cluster");
+        (self.ip(host_number), host_number)
     }
 
-    /// Where a party really listens.
+    /// Returns the address at which a process itself listens, behind the fault proxy.
     pub fn service(&self, name: &str) -> SocketAddr {
         (self.host_address(name).0, SERVICE_PORT).into()
     }
 
+    /// Returns the address of a balancer's admin API.
     pub fn admin(&self, name: &str) -> SocketAddr {
         (self.host_address(name).0, ADMIN_PORT).into()
     }
 
-    /// Where a balancer's datagrams really go, and come from, and where it listens for other balancers.
+    /// Returns the address of a balancer's own peer socket, for datagrams and connections of other balancers.
     pub fn peer_socket(&self, name: &str) -> SocketAddr {
         (self.host_address(name).0, PEER_PORT).into()
     }
 
-    /// Where a party's relay finds another: balancers call each other at another port than clients call them.
+    /// Returns the address to which the fault proxy connects for a connection between two processes.
+    /// Balancers call each other at another port than clients call them.
     pub fn connect_target(&self, from: &str, to: &str) -> SocketAddr {
         if from.starts_with('n') && to.starts_with('n') { self.peer_socket(to) } else { self.service(to) }
     }
 
-    /// Where the others send datagrams to it, and connect to it.
+    /// Returns the address of the fault proxy to which other balancers send datagrams and connect.
     pub fn peer_proxy(&self, name: &str) -> SocketAddr {
         (self.host_address(name).0, PEER_PROXY_PORT).into()
     }
 
-    /// Where one party connects to another: the address called tells who calls.
+    /// Returns the address of the fault proxy for connections from one process to another; its port
+    /// identifies the caller.
     pub fn proxy(&self, from: &str, to: &str) -> SocketAddr {
         (self.host_address(to).0, FIRST_PROXY_PORT + u16::from(self.host_address(from).1)).into()
     }
 
-    /// From where a relay calls in the name of a party.
+    /// Returns the source address, with any port, from which the fault proxy connects on behalf of a process.
     pub fn source(&self, name: &str) -> SocketAddr {
         (self.host_address(name).0, 0).into()
     }
--- a/crates/process-tests/src/addresses/tests.rs
+++ b/crates/process-tests/src/addresses/tests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-/// Guards against two stages on one machine that take each other's connections.
+/// Guards against two test clusters on one machine that receive each other's connections.
 #[test]
-fn two_stages_never_share_a_block() {
+fn two_clusters_never_share_a_block() {
     let (one, other) = (AddressBlock::claim().unwrap(), AddressBlock::claim().unwrap());
     assert_ne!(one.service("n0"), other.service("n0"));
     assert_ne!(one.proxy("n0", "u1"), one.proxy("n1", "u1"));
--- a/crates/process-tests/src/admin_client.rs
+++ b/crates/process-tests/src/admin_client.rs
@@ -14,15 +14,16 @@
 
 use crate::history::HistoryWriter;
 
-/// How often a balancer is asked how many members it counts.
+/// The pause between two queries of a balancer's member count.
 pub(crate) const MEMBERSHIP_POLL_INTERVAL: Micros = 300 * MS;
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Makes a call, such as `GET /_members`: the status and the body, or 0 where the connection ends before an answer.
+/// Makes a call, such as `GET /_members`, and returns the status and the body. The status is 0 if the
+/// connection ends without a response.
 ///
 /// # Errors
 ///
-/// Fails where the balancer cannot be reached, or its answer cannot be read.
+/// Fails if the balancer can't be reached or its response can't be read.
 pub(crate) async fn admin_request(address: SocketAddr, call: &str, body: &str) -> io::Result<(u16, Vec<u8>)> {
     let stream = TcpStream::connect(address).await?;
     let (reader, mut writer) = stream.into_split();
@@ -34,7 +35,7 @@
     Ok(response.map_or((0, Vec::new()), |response| (response.status, response.body)))
 }
 
-/// Records again and again how many members a balancer counts, while it answers.
+/// Records a balancer's member count at intervals until dropped; a query that fails is skipped.
 pub(crate) async fn poll_member_counts(
     node: String,
     address: SocketAddr,
--- a/crates/process-tests/src/checkers/fleet_limits.rs
+++ b/crates/process-tests/src/checkers/fleet_limits.rs
@@ -44,8 +44,8 @@
         let fleet = &scenario.fleet;
         let nodes: Vec<String> = (0..fleet.balancers).map(addresses::balancer_name).collect();
         let bounds = (0..=nodes.len()).filter_map(|out| fleet.admission_bound(out)).collect();
-        let registry_replicas = nodes.iter().take(fleet.keepers.unwrap_or(0)).cloned().collect();
-        let lookback = (fleet.lease_s * 3.0 + fleet.touch_s * 2.0 + 1.0) * SECOND as f64;
+        let registry_replicas = nodes.iter().take(fleet.registry_replicas.unwrap_or(0)).cloned().collect();
+        let lookback = (fleet.lease_s * 3.0 + fleet.contact_timeout_s * 2.0 + 1.0) * SECOND as f64;
         FleetLimitChecker {
             bounds,
             limit_per_second: fleet.limit.unwrap_or(0.0),
--- a/crates/process-tests/src/checkers/operator_overrides.rs
+++ b/crates/process-tests/src/checkers/operator_overrides.rs
@@ -31,7 +31,7 @@
 impl OperatorOverrideChecker {
     /// Returns a checker for the balancers of this scenario; without registry replicas they exchange nothing.
     pub fn new(scenario: &Scenario) -> OperatorOverrideChecker {
-        let count = if scenario.fleet.keepers.is_some() { scenario.fleet.balancers } else { 0 };
+        let count = if scenario.fleet.registry_replicas.is_some() { scenario.fleet.balancers } else { 0 };
         OperatorOverrideChecker {
             nodes: (0..count).map(addresses::balancer_name).collect(),
             known_ejections: BTreeMap::new(),
--- a/crates/process-tests/src/checkers/slow_start.rs
+++ b/crates/process-tests/src/checkers/slow_start.rs
@@ -77,8 +77,8 @@
                     started.abs_diff(warming.started_at) <= 2_000 && *first_byte > received_at + 50_000
                 });
                 let is_cold = first_byte.saturating_sub(warming.started_at) < self.slow_start.warm_up_time;
-                // Attempts that a paused balancer had begun, or that a path held back, arrive later than they were
-                // decided on.
+                // Attempts that a paused balancer had begun, or that a path held back, arrive later than they
+                // were decided on.
                 let had_outage = timeline.had_process_outage(node, warming.started_at, at);
                 if is_cold && let Some(work) = self.work_by_request.get(op) {
                     warming.attempts.push((*first_byte, *work as f64 / SECOND as f64, knew && !had_outage));
--- a/crates/process-tests/src/checkers/staleness.rs
+++ b/crates/process-tests/src/checkers/staleness.rs
@@ -22,7 +22,7 @@
 impl StalenessChecker {
     /// Returns a checker for the settings of this scenario.
     pub fn new(scenario: &Scenario) -> StalenessChecker {
-        let max_staleness = (scenario.fleet.ask_within_s * SECOND as f64) as Micros;
+        let max_staleness = (scenario.fleet.max_staleness_s * SECOND as f64) as Micros;
         StalenessChecker { max_staleness, draining_since: BTreeMap::new(), running_since: BTreeMap::new() }
     }
 }
--- a/crates/process-tests/src/cluster.rs
+++ b/crates/process-tests/src/cluster.rs
@@ -175,7 +175,7 @@
     async fn run(mut self) -> Result<(Micros, Micros), String> {
         let names: Vec<String> = self.nodes.keys().cloned().collect();
         for name in &names {
-            self.start_balancer(name, self.scenario.fleet.known, StateDirectoryCondition::Kept)?;
+            self.start_balancer(name, self.scenario.fleet.configured_list, StateDirectoryCondition::Kept)?;
         }
         self.tasks.spawn(self.load_generator.clone().watch_readiness());
         self.wait_until_ready(&names).await?;
@@ -185,7 +185,7 @@
         self.spawn_observers(&names);
         self.run_load(begin, end).await?;
         self.check_all_serve().await;
-        if self.scenario.fleet.keepers.is_some() {
+        if self.scenario.fleet.registry_replicas.is_some() {
             self.check_overrides_agree().await;
         }
         self.shut_down().await;
@@ -212,7 +212,7 @@
 
     /// Starts what asks balancers for their members and for permits.
     fn spawn_observers(&mut self, names: &[String]) {
-        if self.scenario.fleet.keepers.is_some() {
+        if self.scenario.fleet.registry_replicas.is_some() {
             for name in names {
                 let address = self.proxy.addresses.admin(name);
                 let history = self.history.clone();
--- a/crates/process-tests/src/cluster/balancer_config.rs
+++ b/crates/process-tests/src/cluster/balancer_config.rs
@@ -22,7 +22,7 @@
         };
         let known = match known {
             ConfiguredList::Empty => json!({"version": 0, "full": true, "servers": []}),
-            ConfiguredList::Hollow => {
+            ConfiguredList::EmptyWithVersion => {
                 json!({"version": self.last_lists[node]["version"], "full": true, "servers": []})
             }
             ConfiguredList::First => self.initial_lists[node].clone(),
@@ -40,12 +40,12 @@
             "settings": {
                 "categories": [request_class("look", "pure"), request_class("top", "token"), request_class("buy", "side_effect")],
                 "projects": [{"name": "acme", "quota_per_s": load.rate * 10.0}],
-                "dcs": ["east", "west"], "kinds": ["small"], "n_instances": fleet.settings.unwrap_or(fleet.balancers as u32), "ordinal": ordinal,
+                "dcs": ["east", "west"], "kinds": ["small"], "n_instances": fleet.configured_balancers.unwrap_or(fleet.balancers as u32), "ordinal": ordinal,
                 "overage_benefit": 0.1, "discovery": "on_request",
                 "limits": {"max_pushes": MAX_ATTEMPTS, "second_copies": true, "cancelling": true, "retry_after": true,
                     "max_retry_after": 2.0, "connect_timeout": 0.25, "keepalive": 60.0},
-                "obligations": {"ask_within": fleet.ask_within_s, "cold_from": fleet.cold_from, "cold": fleet.warm_s,
-                    "fall_multiple": fleet.fall_multiple, "fall": fleet.fall_s},
+                "obligations": {"ask_within": fleet.max_staleness_s, "cold_from": fleet.initial_fraction, "cold": fleet.warm_up_s,
+                    "fall_multiple": fleet.overload_factor, "fall": fleet.overload_window_s},
             },
         })
     }
@@ -73,7 +73,7 @@
     fleet: &Fleet,
     key: &Path,
 ) -> String {
-    let Some(keepers) = fleet.keepers else { return String::new() };
+    let Some(keepers) = fleet.registry_replicas else { return String::new() };
     let keeper = |name: &String| format!("{name} = \"{}\"", proxy.addresses.peer_proxy(name));
     let keepers: Vec<String> = names.iter().take(keepers).map(keeper).collect();
     let seeds = names.iter().rev().take(2).map(|name| format!("\"{}\"", proxy.addresses.peer_proxy(name)));
@@ -90,12 +90,12 @@
         fleet.reserve.map_or(String::new(), |reserve| format!("reserve = {reserve:?}\n")),
     ) + &fleet.permits.map_or(String::new(), |count| {
         format!("[leases]\nlength = \"{}ms\"\npermits = {{ task = {count} }}\n", fleet.lease_s * 1e3)
-    }) + if fleet.claims { "[verdicts]\nlength = \"5s\"\n" } else { "" }
+    }) + if fleet.fault_reports { "[verdicts]\nlength = \"5s\"\n" } else { "" }
         + &fleet.limit.map_or(String::new(), |rate| {
-        let out_of_touch = fleet.floor.map_or("strict = true".to_string(), |floor| format!("floor = {floor:?}"));
+        let out_of_touch = fleet.fallback_rate.map_or("strict = true".to_string(), |floor| format!("floor = {floor:?}"));
         format!(
             "[limits]\nlength = \"{}ms\"\nlease = \"{}ms\"\ntenants = {{ acme = {{ rate = {rate:?}, {out_of_touch} }} }}\n",
-            fleet.touch_s * 1e3,
+            fleet.contact_timeout_s * 1e3,
             fleet.lease_s * 1e3
         )
     })
--- a/crates/process-tests/src/cluster/end_checks.rs
+++ b/crates/process-tests/src/cluster/end_checks.rs
@@ -52,7 +52,7 @@
         }
         self.record(Event::Fault { text: "the end".to_string(), ways: Vec::new(), over: true });
         for (index, fault) in self.scenario.faults.clone().iter().enumerate() {
-            if fault.lasts == 0.0 && fault.what.target() != FaultTarget::Balancers {
+            if fault.duration_s == 0.0 && fault.kind.target() != FaultTarget::Balancers {
                 let _ = self.end_fault(index, fault).await;
                 self.record_fault(fault, true);
             }
--- a/crates/process-tests/src/cluster/faults.rs
+++ b/crates/process-tests/src/cluster/faults.rs
@@ -13,8 +13,8 @@
 impl Cluster {
     /// Begins a fault; the index is that of the fault in the scenario.
     pub(super) async fn begin_fault(&mut self, index: usize, fault: &Fault) -> Result<(), String> {
-        let targets = || self.scenario.matching_nodes(&fault.who);
-        match fault.what {
+        let targets = || self.scenario.matching_nodes(&fault.targets);
+        match fault.kind {
             FaultKind::Kill => targets()?.iter().for_each(|name| self.kill_balancer(name)),
             FaultKind::Terminate => {
                 for name in targets()? {
@@ -29,12 +29,14 @@
                     self.paused.insert(name);
                 }
             }
-            FaultKind::Twin => {
+            FaultKind::DuplicateProcess => {
                 for name in targets()? {
                     self.start_duplicate(name, fault)?;
                 }
             }
-            FaultKind::PutOut | FaultKind::PutOutOfFleet => self.request_manual_ejection(fault, true).await?,
+            FaultKind::ManualEjection | FaultKind::FleetEjection => {
+                self.request_manual_ejection(fault, true).await?
+            }
             FaultKind::Crash => targets()?.iter().for_each(|name| self.upstreams[name].kill()),
             FaultKind::Restart => {
                 for name in targets()? {
@@ -48,13 +50,13 @@
                     self.discovery.set_endpoint(&name, zone_of(&name), "leaving", started);
                 }
             }
-            FaultKind::Drag | FaultKind::Fail | FaultKind::Hang | FaultKind::Fill => {
+            FaultKind::SlowDown | FaultKind::AnswerErrors | FaultKind::Hang | FaultKind::DeclineAll => {
                 self.set_upstream_behavior(fault, true)?
             }
-            FaultKind::ListAway => self.discovery.stop(),
+            FaultKind::DiscoveryOutage => self.discovery.stop(),
             _ => {
-                let impairment = fault.what.impairment(fault.size);
-                for (from, to) in self.scenario.matching_paths(&fault.way)? {
+                let impairment = fault.kind.impairment(fault.magnitude);
+                for (from, to) in self.scenario.matching_paths(&fault.paths)? {
                     self.proxy.set_fault(&from, &to, index as u64, Some(impairment));
                 }
             }
@@ -66,7 +68,7 @@
     fn start_duplicate(&mut self, name: String, fault: &Fault) -> Result<(), String> {
         let config = self.balancer_config(&name, ConfiguredList::Last);
         let node = self.nodes.get_mut(&name).ok_or("a node")?;
-        let child = with_context(&name, node.spawn(&config, fault.folder))?;
+        let child = with_context(&name, node.spawn(&config, fault.state_directory))?;
         let event = Event::Process { node: format!("{name}+"), id: child.id(), did: ProcessChange::Started };
         self.record(event);
         self.duplicate_processes.push((name, child));
@@ -75,8 +77,8 @@
 
     /// Ends a fault; the index is that of the fault in the scenario.
     pub(super) async fn end_fault(&mut self, index: usize, fault: &Fault) -> Result<(), String> {
-        let targets = || self.scenario.matching_nodes(&fault.who);
-        match fault.what {
+        let targets = || self.scenario.matching_nodes(&fault.targets);
+        match fault.kind {
             FaultKind::Pause => {
                 for name in targets()? {
                     self.nodes[&name].resume();
@@ -84,7 +86,7 @@
                     self.record_process(&name, ProcessChange::Resumed);
                 }
             }
-            FaultKind::PutOut | FaultKind::PutOutOfFleet => {
+            FaultKind::ManualEjection | FaultKind::FleetEjection => {
                 self.request_manual_ejection(fault, false).await?
             }
             FaultKind::Crash => {
@@ -99,12 +101,12 @@
                     self.start_upstream(&name, "active").await?;
                 }
             }
-            FaultKind::Drag | FaultKind::Fail | FaultKind::Hang | FaultKind::Fill => {
+            FaultKind::SlowDown | FaultKind::AnswerErrors | FaultKind::Hang | FaultKind::DeclineAll => {
                 self.set_upstream_behavior(fault, false)?
             }
-            FaultKind::ListAway => with_context("the list", self.discovery.start().await)?,
+            FaultKind::DiscoveryOutage => with_context("the list", self.discovery.start().await)?,
             what if what.target() == FaultTarget::Paths => {
-                for (from, to) in self.scenario.matching_paths(&fault.way)? {
+                for (from, to) in self.scenario.matching_paths(&fault.paths)? {
                     self.proxy.set_fault(&from, &to, index as u64, None);
                 }
             }
@@ -132,10 +134,10 @@
 
     /// Begins or ends a misbehaviour of endpoints.
     fn set_upstream_behavior(&self, fault: &Fault, begins: bool) -> Result<(), String> {
-        for name in self.scenario.matching_nodes(&fault.who)? {
-            self.upstreams[&name].change_behavior(|behavior| match fault.what {
-                FaultKind::Drag => behavior.slowdown_factor = if begins { fault.size } else { 1.0 },
-                FaultKind::Fail => behavior.answers_errors = begins,
+        for name in self.scenario.matching_nodes(&fault.targets)? {
+            self.upstreams[&name].change_behavior(|behavior| match fault.kind {
+                FaultKind::SlowDown => behavior.slowdown_factor = if begins { fault.magnitude } else { 1.0 },
+                FaultKind::AnswerErrors => behavior.answers_errors = begins,
                 FaultKind::Hang => behavior.hangs = begins,
                 _ => behavior.declines_all = begins,
             });
@@ -157,18 +159,21 @@
         });
         let other = self.nodes.keys().find(|other| *other != name).cloned();
         let other = other.map(|other| self.nodes[&other].state_directory());
-        with_context(name, self.nodes[name].prepare_state_directory(fault.folder, other.as_deref()))?;
-        if fault.folder != StateDirectoryCondition::Kept {
-            let state = format!("{:?}", fault.folder);
+        with_context(
+            name,
+            self.nodes[name].prepare_state_directory(fault.state_directory, other.as_deref()),
+        )?;
+        if fault.state_directory != StateDirectoryCondition::Kept {
+            let state = format!("{:?}", fault.state_directory);
             self.record(Event::StateDirectoryChanged { node: name.to_string(), state });
         }
-        self.start_balancer(name, fault.known, fault.folder)
+        self.start_balancer(name, fault.configured_list, fault.state_directory)
     }
 
     /// Ejects endpoints manually, or takes that back.
     async fn request_manual_ejection(&self, fault: &Fault, out: bool) -> Result<(), String> {
-        let (servers, nodes) = self.scenario.parse_manual_ejection(&fault.who)?;
-        let whole = fault.what == FaultKind::PutOutOfFleet;
+        let (servers, nodes) = self.scenario.parse_manual_ejection(&fault.targets)?;
+        let whole = fault.kind == FaultKind::FleetEjection;
         let whose = if whole { "_fleet" } else { "_upstreams" };
         let call = format!("POST /{whose}/{}", if out { "detach" } else { "attach" });
         for (node, server) in nodes.iter().flat_map(|node| servers.iter().map(move |server| (node, server))) {
--- a/crates/process-tests/src/cluster/schedule.rs
+++ b/crates/process-tests/src/cluster/schedule.rs
@@ -23,17 +23,17 @@
         for (index, fault) in self.scenario.faults.iter().enumerate() {
             let at = begin + micros_from_secs(fault.at);
             steps.push((at, FaultStep::Begin(index)));
-            let end = at + micros_from_secs(fault.lasts);
-            if matches!(fault.what, FaultKind::Kill | FaultKind::Terminate) {
-                let nodes = self.scenario.matching_nodes(&fault.who).unwrap_or_default();
-                let spacing = micros_from_secs(fault.within) / nodes.len().max(1) as u64;
+            let end = at + micros_from_secs(fault.duration_s);
+            if matches!(fault.kind, FaultKind::Kill | FaultKind::Terminate) {
+                let nodes = self.scenario.matching_nodes(&fault.targets).unwrap_or_default();
+                let spacing = micros_from_secs(fault.restart_spread_s) / nodes.len().max(1) as u64;
                 // Without a duration it stays down.
-                let returning = nodes.into_iter().filter(|_| fault.lasts > 0.0).enumerate();
+                let returning = nodes.into_iter().filter(|_| fault.duration_s > 0.0).enumerate();
                 steps
                     .extend(returning.map(|(order, name)| {
                         (end + spacing * order as u64, FaultStep::Restart(index, name))
                     }));
-            } else if fault.lasts > 0.0 {
+            } else if fault.duration_s > 0.0 {
                 steps.push((end, FaultStep::End(index)));
             }
         }
@@ -41,8 +41,8 @@
     }
 
     pub(super) fn record_fault(&self, fault: &Fault, is_over: bool) {
-        let paths = match fault.what.target() {
-            FaultTarget::Paths => self.scenario.matching_paths(&fault.way).unwrap_or_default(),
+        let paths = match fault.kind.target() {
+            FaultTarget::Paths => self.scenario.matching_paths(&fault.paths).unwrap_or_default(),
             FaultTarget::Discovery => self.scenario.matching_paths("n*->list").unwrap_or_default(),
             _ => Vec::new(),
         };
--- a/crates/process-tests/src/cluster/set_up.rs
+++ b/crates/process-tests/src/cluster/set_up.rs
@@ -83,7 +83,7 @@
         let proxy = self.proxy.clone();
         DiscoveryService::new(
             self.proxy.addresses.service(DISCOVERY),
-            micros_from_secs(self.scenario.fleet.list_ms / 1e3),
+            micros_from_secs(self.scenario.fleet.discovery_call_ms / 1e3),
             self.clock,
             self.history.clone(),
             self.proxy.clone(),
@@ -98,8 +98,11 @@
         tasks: &mut JoinSet<()>,
     ) -> Result<BTreeMap<String, Arc<UpstreamServer>>, String> {
         let fleet = &self.scenario.fleet;
-        let spec =
-            UpstreamSpec { cores: fleet.cores, queue_limit: fleet.queue, slow_start: fleet.slow_start() };
+        let spec = UpstreamSpec {
+            cores: fleet.cores,
+            queue_limit: fleet.queue_limit,
+            slow_start: fleet.slow_start(),
+        };
         let dedup_memory = Arc::new(DedupMemory::default());
         let mut upstreams = BTreeMap::new();
         for index in 0..fleet.upstreams {
@@ -125,7 +128,7 @@
 
     /// Relays datagrams among balancers that know each other.
     async fn relay_datagrams(&self) -> Result<Option<JoinSet<()>>, String> {
-        if self.scenario.fleet.keepers.is_none() {
+        if self.scenario.fleet.registry_replicas.is_none() {
             return Ok(None);
         }
         let relays = self.proxy.clone().relay_datagrams(self.balancers.clone()).await;
@@ -144,7 +147,7 @@
             tasks.spawn(self.proxy.clone().proxy_connections(name.clone(), DISCOVERY.to_string()));
             tasks.spawn(self.proxy.clone().proxy_connections(CLIENTS.to_string(), name.clone()));
             let mut node = with_context(name, Node::new(name, directory, program, arguments))?;
-            node.keeps_state = fleet.state;
+            node.keeps_state = fleet.keeps_state;
             node.fleet_settings = fleet_settings(&self.proxy, name, &self.balancers, fleet, &key);
             nodes.insert(name.clone(), node);
         }
@@ -169,11 +172,11 @@
         requests_per_second: load.rate,
         mean_work: micros_from_secs(load.work_ms / 1e3),
         timeout: micros_from_secs(load.ttl_ms / 1e3),
-        deduplicated_ratio: load.top,
-        non_idempotent_ratio: load.buy,
-        abandon_ratio: load.leave,
-        immediate_retry_ratio: load.again,
-        retry_after_ratio: load.heed,
-        first_balancer_ratio: load.uneven,
+        deduplicated_ratio: load.deduplicated_ratio,
+        non_idempotent_ratio: load.non_idempotent_ratio,
+        abandon_ratio: load.abandon_ratio,
+        immediate_retry_ratio: load.immediate_retry_ratio,
+        retry_after_ratio: load.retry_after_ratio,
+        first_balancer_ratio: load.first_balancer_ratio,
     }
 }
--- a/crates/process-tests/src/fault_report_measurement.rs
+++ b/crates/process-tests/src/fault_report_measurement.rs
@@ -33,12 +33,12 @@
 pub const CASES: &[Case] = &[
     Case {
         name: "an upstream fails, each alone",
-        fault: InjectedFault::Upstream(FaultKind::Fail),
+        fault: InjectedFault::Upstream(FaultKind::AnswerErrors),
         fault_reports_enabled: false,
     },
     Case {
         name: "an upstream fails, claims",
-        fault: InjectedFault::Upstream(FaultKind::Fail),
+        fault: InjectedFault::Upstream(FaultKind::AnswerErrors),
         fault_reports_enabled: true,
     },
     Case {
@@ -79,25 +79,31 @@
         let fleet = Fleet {
             balancers: 12,
             upstreams: 8,
-            keepers: Some(3),
-            claims: self.fault_reports_enabled,
+            registry_replicas: Some(3),
+            fault_reports: self.fault_reports_enabled,
             ..Fleet::default()
         };
-        let load = Load { rate: 60.0, again: 0.0, heed: 0.0, leave: 0.0, ..Load::default() };
+        let load = Load {
+            rate: 60.0,
+            immediate_retry_ratio: 0.0,
+            retry_after_ratio: 0.0,
+            abandon_ratio: 0.0,
+            ..Load::default()
+        };
         let (what, who, way, size) = match self.fault {
             InjectedFault::Upstream(what) => (what, FAULTY_UPSTREAM, "", 0.0),
             InjectedFault::OwnPaths => (FaultKind::Reset, "", "n11<->u*", 0.5),
         };
         let fault = Fault {
             at: FAULT_AT_S,
-            what,
-            who: who.to_string(),
-            way: way.to_string(),
-            lasts: FAULT_DURATION_S,
-            size,
-            within: 0.0,
-            known: ConfiguredList::Last,
-            folder: StateDirectoryCondition::Kept,
+            kind: what,
+            targets: who.to_string(),
+            paths: way.to_string(),
+            duration_s: FAULT_DURATION_S,
+            magnitude: size,
+            restart_spread_s: 0.0,
+            configured_list: ConfiguredList::Last,
+            state_directory: StateDirectoryCondition::Kept,
         };
         Scenario { seed, seconds: FAULT_AT_S + FAULT_DURATION_S + 4.0, fleet, load, faults: vec![fault] }
     }
--- a/crates/process-tests/src/generator.rs
+++ b/crates/process-tests/src/generator.rs
@@ -1,4 +1,5 @@
-//! Scripts drawn from seeds: a small fleet, and faults that overlap. It must never draw from anything but the seed.
+//! Generates scenarios from seeds: a small fleet with overlapping faults. A scenario depends on nothing but
+//! its seed.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -7,41 +8,42 @@
     ConfiguredList, Fault, FaultKind, FaultTarget, Fleet, Load, Scenario, StateDirectoryCondition,
 };
 
-fn round_to_tenth(of: f64) -> f64 {
-    (of * 10.0).round() / 10.0
+fn round_to_tenth(value: f64) -> f64 {
+    (value * 10.0).round() / 10.0
 }
 
-/// Tells the generator of limits from that of all else.
+/// Separates the random numbers for limits from all others.
 const LIMIT_SEED_SALT: u64 = 0x11317;
 
-/// The scenario of this seed.
+/// Generates the scenario of a seed.
 pub fn generate(seed: u64) -> Scenario {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let keepers = rng.random_bool(0.5).then_some(3);
+    let registry_replicas = rng.random_bool(0.5).then_some(3);
     let fleet = Fleet {
-        keepers,
+        registry_replicas,
         reserve: rng.random_bool(0.5).then_some(0.25),
-        permits: keepers.filter(|_| rng.random_bool(0.7)).map(|_| rng.random_range(1..=2)),
+        permits: registry_replicas.filter(|_| rng.random_bool(0.7)).map(|_| rng.random_range(1..=2)),
         balancers: rng.random_range(3..=8),
         upstreams: rng.random_range(3..=8),
-        known: if rng.random_bool(0.2) { ConfiguredList::Empty } else { ConfiguredList::Last },
-        state: rng.random_bool(0.5),
-        list_ms: f64::from(rng.random_range(1..=20)),
+        configured_list: if rng.random_bool(0.2) { ConfiguredList::Empty } else { ConfiguredList::Last },
+        keeps_state: rng.random_bool(0.5),
+        discovery_call_ms: f64::from(rng.random_range(1..=20)),
         ..Fleet::default()
     };
     let mut load = Load { rate: f64::from(rng.random_range(60..=200)), ..Load::default() };
     let mut fleet = fleet;
-    // Drawn last, so that seeds of before limits draw the rest as they did.
-    let mut of_limit = Pcg64Mcg::seed_from_u64(seed ^ LIMIT_SEED_SALT);
-    if keepers.is_some() && of_limit.random_bool(0.6) {
-        let limit = (load.rate * of_limit.random_range(0.3..1.2)).round();
+    // Limits have random numbers of their own, so that seeds from before limits existed generate the same
+    // rest.
+    let mut limit_rng = Pcg64Mcg::seed_from_u64(seed ^ LIMIT_SEED_SALT);
+    if registry_replicas.is_some() && limit_rng.random_bool(0.6) {
+        let limit = (load.rate * limit_rng.random_range(0.3..1.2)).round();
         fleet.limit = Some(limit);
-        fleet.floor =
-            of_limit.random_bool(0.5).then(|| round_to_tenth(limit / fleet.balancers as f64).max(0.1));
-        fleet.claims = of_limit.random_bool(0.5);
-        load.uneven = round_to_tenth(of_limit.random_range(0.0..0.9));
+        fleet.fallback_rate =
+            limit_rng.random_bool(0.5).then(|| round_to_tenth(limit / fleet.balancers as f64).max(0.1));
+        fleet.fault_reports = limit_rng.random_bool(0.5);
+        load.first_balancer_ratio = round_to_tenth(limit_rng.random_range(0.0..0.9));
     }
-    let mut script = Scenario {
+    let mut scenario = Scenario {
         seed,
         seconds: round_to_tenth(rng.random_range(6.0..9.0)),
         fleet,
@@ -49,60 +51,65 @@
         faults: Vec::new(),
     };
     for _ in 0..rng.random_range(2..=6) {
-        let fault = random_fault(&mut rng, &script);
-        script.faults.push(fault);
+        let fault = random_fault(&mut rng, &scenario);
+        scenario.faults.push(fault);
     }
-    script.faults.sort_by(|a, b| a.at.total_cmp(&b.at));
-    script
+    scenario.faults.sort_by(|a, b| a.at.total_cmp(&b.at));
+    scenario
 }
 
-fn random_fault(rng: &mut Pcg64Mcg, script: &Scenario) -> Fault {
-    let what = match FaultKind::ALL[rng.random_range(0..FaultKind::ALL.len())] {
-        FaultKind::PutOutOfFleet if script.fleet.keepers.is_none() => FaultKind::PutOut,
-        what => what,
+fn random_fault(rng: &mut Pcg64Mcg, scenario: &Scenario) -> Fault {
+    let kind = match FaultKind::ALL[rng.random_range(0..FaultKind::ALL.len())] {
+        FaultKind::FleetEjection if scenario.fleet.registry_replicas.is_none() => FaultKind::ManualEjection,
+        kind => kind,
     };
-    let (balancers, upstreams) = (script.fleet.balancers, script.fleet.upstreams);
-    let some = |rng: &mut Pcg64Mcg, letter: char, of: usize| match rng.random_range(0..4) {
-        0 => format!("{letter}*"),
-        1 => format!("{letter}0..{letter}{}", rng.random_range(0..of)),
-        _ => format!("{letter}{}", rng.random_range(0..of)),
+    let (balancers, upstreams) = (scenario.fleet.balancers, scenario.fleet.upstreams);
+    let random_pattern = |rng: &mut Pcg64Mcg, prefix: char, count: usize| match rng.random_range(0..4) {
+        0 => format!("{prefix}*"),
+        1 => format!("{prefix}0..{prefix}{}", rng.random_range(0..count)),
+        _ => format!("{prefix}{}", rng.random_range(0..count)),
     };
-    let (mut who, mut way) = (String::new(), String::new());
-    match what.target() {
-        FaultTarget::Balancers if what.is_manual_ejection() => {
-            who = format!("u{} at n{}", rng.random_range(0..upstreams), rng.random_range(0..balancers));
+    let (mut targets, mut paths) = (String::new(), String::new());
+    match kind.target() {
+        FaultTarget::Balancers if kind.is_manual_ejection() => {
+            targets = format!("u{} at n{}", rng.random_range(0..upstreams), rng.random_range(0..balancers));
         }
-        FaultTarget::Balancers => who = some(rng, 'n', balancers),
-        FaultTarget::Upstreams => who = some(rng, 'u', upstreams),
+        FaultTarget::Balancers => targets = random_pattern(rng, 'n', balancers),
+        FaultTarget::Upstreams => targets = random_pattern(rng, 'u', upstreams),
         FaultTarget::Discovery => {}
         FaultTarget::Paths => {
-            let from = some(rng, 'n', balancers);
-            let is_datagrams = matches!(what, FaultKind::Double | FaultKind::Reorder | FaultKind::Flip);
-            let among = is_datagrams || script.fleet.keepers.is_some() && rng.random_bool(0.5);
+            let from = random_pattern(rng, 'n', balancers);
+            let affects_datagrams =
+                matches!(kind, FaultKind::Duplicate | FaultKind::Reorder | FaultKind::Corrupt);
+            let is_between_balancers =
+                affects_datagrams || scenario.fleet.registry_replicas.is_some() && rng.random_bool(0.5);
             let to = match rng.random_range(0..6) {
-                _ if among => "n*".to_string(),
+                _ if is_between_balancers => "n*".to_string(),
                 0 => "list".to_string(),
                 1 => "clients".to_string(),
                 2 => "zone east".to_string(),
-                _ => some(rng, 'u', upstreams),
+                _ => random_pattern(rng, 'u', upstreams),
             };
             let arrow = ["->", "<->", "<->"][rng.random_range(0..3)];
-            way = format!("{from}{arrow}{to}");
+            paths = format!("{from}{arrow}{to}");
         }
     }
-    let size = match what {
+    let magnitude = match kind {
         FaultKind::Delay => f64::from(rng.random_range(5..=400)),
-        FaultKind::Slow => f64::from(rng.random_range(2_000..=200_000)),
-        FaultKind::Lose => round_to_tenth(rng.random_range(0.1..0.6)),
-        FaultKind::Reset | FaultKind::Short | FaultKind::Double | FaultKind::Reorder | FaultKind::Flip => {
-            round_to_tenth(rng.random_range(0.1..0.4))
-        }
-        FaultKind::Drag => f64::from(rng.random_range(2..=10)),
+        FaultKind::Throttle => f64::from(rng.random_range(2_000..=200_000)),
+        FaultKind::Loss => round_to_tenth(rng.random_range(0.1..0.6)),
+        FaultKind::Reset
+        | FaultKind::Truncate
+        | FaultKind::Duplicate
+        | FaultKind::Reorder
+        | FaultKind::Corrupt => round_to_tenth(rng.random_range(0.1..0.4)),
+        FaultKind::SlowDown => f64::from(rng.random_range(2..=10)),
         _ => 0.0,
     };
-    let known = [ConfiguredList::Last, ConfiguredList::Last, ConfiguredList::First, ConfiguredList::Empty]
-        [rng.random_range(0..4)];
-    let folders = [
+    let configured_list =
+        [ConfiguredList::Last, ConfiguredList::Last, ConfiguredList::First, ConfiguredList::Empty]
+            [rng.random_range(0..4)];
+    let conditions = [
         StateDirectoryCondition::Kept,
         StateDirectoryCondition::Kept,
         StateDirectoryCondition::Emptied,
@@ -111,18 +118,18 @@
         StateDirectoryCondition::Full,
         StateDirectoryCondition::ReadOnly,
     ];
-    let folder = folders[rng.random_range(0..folders.len())];
-    let is_restart = matches!(what, FaultKind::Kill | FaultKind::Terminate);
+    let state_directory = conditions[rng.random_range(0..conditions.len())];
+    let restarts_balancer = matches!(kind, FaultKind::Kill | FaultKind::Terminate);
     Fault {
-        at: round_to_tenth(rng.random_range(0.5..script.seconds - 2.0)),
-        what,
-        who,
-        way,
-        lasts: round_to_tenth(rng.random_range(0.3..4.0)),
-        size,
-        within: if is_restart { round_to_tenth(rng.random_range(0.0..1.5)) } else { 0.0 },
-        known: if is_restart { known } else { ConfiguredList::Last },
-        folder: if is_restart { folder } else { StateDirectoryCondition::Kept },
+        at: round_to_tenth(rng.random_range(0.5..scenario.seconds - 2.0)),
+        kind,
+        targets,
+        paths,
+        duration_s: round_to_tenth(rng.random_range(0.3..4.0)),
+        magnitude,
+        restart_spread_s: if restarts_balancer { round_to_tenth(rng.random_range(0.0..1.5)) } else { 0.0 },
+        configured_list: if restarts_balancer { configured_list } else { ConfiguredList::Last },
+        state_directory: if restarts_balancer { state_directory } else { StateDirectoryCondition::Kept },
     }
 }
 
--- a/crates/process-tests/src/generator/tests.rs
+++ b/crates/process-tests/src/generator/tests.rs
@@ -2,12 +2,13 @@
 
 use super::*;
 
-/// Guards against a seed whose script is none, and against one that is drawn otherwise the next time.
+/// Guards against a seed whose scenario is invalid, and against one that generates different scenarios.
 #[test]
-fn every_seed_has_one_script() {
+fn every_seed_generates_one_valid_scenario() {
     for seed in 0..2000 {
-        let script = generate(seed);
-        let read = Scenario::parse(&script.to_toml()).unwrap_or_else(|error| panic!("seed {seed}: {error}"));
-        assert_eq!((&read, &generate(seed)), (&script, &script), "seed {seed}");
+        let scenario = generate(seed);
+        let read =
+            Scenario::parse(&scenario.to_toml()).unwrap_or_else(|error| panic!("seed {seed}: {error}"));
+        assert_eq!((&read, &generate(seed)), (&scenario, &scenario), "seed {seed}");
     }
 }
--- a/crates/process-tests/src/lateness.rs
+++ b/crates/process-tests/src/lateness.rs
@@ -1,4 +1,5 @@
-//! How late the harness itself runs: a thread that sleeps and measures how late it wakes.
+//! Measures the delay of the test harness itself: a thread sleeps for a fixed time and records how late it
+//! wakes.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -8,14 +9,14 @@
 use doorproxy_test_servers::clock::{MS, Micros};
 use doorproxy_test_servers::events::{Event, SharedEventSink};
 
-/// Above this a measurement shows the harness itself.
+/// The delay above which a measurement is void, because it would show the harness and not the balancers.
 pub const MAX_LATENESS: Micros = 50 * MS;
-/// How long the thread sleeps at a time.
+/// The time for which the thread sleeps each time.
 const SLEEP_INTERVAL: Duration = Duration::from_millis(5);
-/// How often the worst is recorded.
+/// The time between two records of the largest delay.
 const RECORD_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The thread.
+/// The thread that measures the delay.
 pub(crate) struct LatenessMonitor {
     stop_requested: Arc<AtomicBool>,
     max_lateness: Arc<AtomicU64>,
@@ -33,7 +34,7 @@
         LatenessMonitor { stop_requested, max_lateness, thread: Some(thread) }
     }
 
-    /// Ends the thread and returns the worst lateness that it recorded.
+    /// Ends the thread and returns the largest delay that it recorded.
     pub fn stop(mut self) -> Micros {
         self.stop_requested.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
--- a/crates/process-tests/src/lib.rs
+++ b/crates/process-tests/src/lib.rs
@@ -1,5 +1,6 @@
-//! Several real doorproxy processes on loopback, with a fault-injecting proxy between them, and checkers that read from
-//! outside what clients, endpoints and discovery saw. No checker relies on what the program says of itself.
+//! Tests with several real doorproxy processes on loopback and a fault-injecting proxy between them. Checkers
+//! read what clients, endpoints and discovery observed; what balancers report about themselves is used only
+//! where a checker says so.
 
 pub mod addresses;
 mod admin_client;
--- a/crates/process-tests/src/main.rs
+++ b/crates/process-tests/src/main.rs
@@ -174,7 +174,7 @@
             run_scenario(script, &staging).is_ok_and(|played| played.broken_rules().contains(first.rule))
         });
         let small = shrinker.shrink();
-        println!("# {} after {} plays\n{}", first.rule, shrinker.tries, small.to_toml());
+        println!("# {} after {} plays\n{}", first.rule, shrinker.run_count, small.to_toml());
     }
     Ok(played.findings.is_empty())
 }
--- a/crates/process-tests/src/permit_worker.rs
+++ b/crates/process-tests/src/permit_worker.rs
@@ -1,4 +1,4 @@
-//! A worker of which only so many may act in the fleet at a time.
+//! A worker that acts only under a permit, which limits how many of them act in the fleet at a time.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,27 +13,27 @@
 use crate::admin_client::admin_request;
 use crate::history::HistoryWriter;
 
-/// How often a worker asks for a permit, or for more time.
+/// The pause between two calls for a permit or its extension.
 const PERMIT_INTERVAL: Micros = 60 * MS;
-/// A later answer is of no use: its time is over.
+/// The time after which a call is given up; a permit granted later would have expired already.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A permit as a balancer grants it.
+/// A permit that a balancer granted.
 struct Permit {
     token: u64,
     duration: Micros,
 }
 
-/// Takes the permit at its balancer, acts for as long as that grants, counted from before it asked, and gives it back now
-/// and then.
+/// Takes the permit at its balancer, acts for the granted time, counted from before the call, and gives the
+/// permit back at random times.
 pub(crate) struct PermitWorker {
-    /// Name of the balancer.
+    /// The name of the balancer.
     pub node: String,
-    /// Its admin API.
+    /// The address of its admin API.
     pub admin_address: SocketAddr,
     /// The clock of the run.
     pub clock: Clock,
-    /// Where it records that it acts.
+    /// The history in which the worker records that it acts.
     pub history: Arc<HistoryWriter>,
 }
 
@@ -46,12 +46,12 @@
     }
 
     async fn take_permit(&self) -> Option<Permit> {
-        let answer = self.call("take", "task 1").await?;
-        let seconds = answer["for_s"].as_f64()?;
-        Some(Permit { token: answer["token"].as_u64()?, duration: (seconds * SECOND as f64) as Micros })
+        let response = self.call("take", "task 1").await?;
+        let seconds = response["for_s"].as_f64()?;
+        Some(Permit { token: response["token"].as_u64()?, duration: (seconds * SECOND as f64) as Micros })
     }
 
-    /// Works until dropped; the seed decides when it gives the permit back.
+    /// Runs until dropped; the seed determines when the worker gives the permit back.
     pub async fn run(self, seed: u64) {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut acts_until = 0;
@@ -66,9 +66,9 @@
                 clock::sleep(rng.random_range(0..SECOND / 2)).await;
                 continue;
             }
-            let asked_at = self.clock.now();
+            let called_at = self.clock.now();
             let Some(permit) = self.take_permit().await else { continue };
-            let until = asked_at + permit.duration;
+            let until = called_at + permit.duration;
             let now = self.clock.now();
             if until > now {
                 if acts_until <= now {
--- a/crates/process-tests/src/quota_measurement.rs
+++ b/crates/process-tests/src/quota_measurement.rs
@@ -67,46 +67,46 @@
     Case { name: "floors, all killed for 1 s", fault: Some((FaultKind::Kill, "n*", 1.0)), ..ALLOCATED },
     Case {
         name: "floors, half cut off",
-        fault: Some((FaultKind::Cut, "n6..n11<->n0..n5", 12.0)),
+        fault: Some((FaultKind::Partition, "n6..n11<->n0..n5", 12.0)),
         ..ALLOCATED
     },
 ];
 
 impl Case {
     pub fn scenario(&self, seed: u64) -> Scenario {
-        let floor = (!self.is_strict).then_some(LIMIT_PER_SECOND / BALANCER_COUNT as f64);
+        let fallback_rate = (!self.is_strict).then_some(LIMIT_PER_SECOND / BALANCER_COUNT as f64);
         let fleet = Fleet {
             balancers: BALANCER_COUNT,
             upstreams: 6,
-            keepers: Some(3),
+            registry_replicas: Some(3),
             limit: Some(LIMIT_PER_SECOND),
-            floor,
+            fallback_rate,
             lease_s: 2.0,
-            touch_s: 1.0,
+            contact_timeout_s: 1.0,
             ..Fleet::default()
         };
         let load = Load {
             rate: 1.5 * LIMIT_PER_SECOND,
             work_ms: 4.0,
-            again: 0.0,
-            heed: 0.0,
-            uneven: self.first_balancer_ratio,
+            immediate_retry_ratio: 0.0,
+            retry_after_ratio: 0.0,
+            first_balancer_ratio: self.first_balancer_ratio,
             ..Load::default()
         };
-        let divides = self.is_divided_evenly.then_some((0.0, FaultKind::Cut, "n*<->n*", 0.0));
+        let divides = self.is_divided_evenly.then_some((0.0, FaultKind::Partition, "n*<->n*", 0.0));
         let fault = self.fault.map(|(what, whom, lasts)| (FAULT_AT_S, what, whom, lasts));
         let faults = divides.into_iter().chain(fault).map(|(at, what, whom, lasts)| {
             let (who, way) = if whom.contains("->") { ("", whom) } else { (whom, "") };
             Fault {
                 at,
-                what,
-                who: who.to_string(),
-                way: way.to_string(),
-                lasts,
-                size: 0.0,
-                within: 0.0,
-                known: ConfiguredList::Last,
-                folder: StateDirectoryCondition::Kept,
+                kind: what,
+                targets: who.to_string(),
+                paths: way.to_string(),
+                duration_s: lasts,
+                magnitude: 0.0,
+                restart_spread_s: 0.0,
+                configured_list: ConfiguredList::Last,
+                state_directory: StateDirectoryCondition::Kept,
             }
         });
         Scenario { seed, seconds: FAULT_AT_S + LOAD_AFTER_FAULT_S, fleet, load, faults: faults.collect() }
--- a/crates/process-tests/src/recovery_measurement.rs
+++ b/crates/process-tests/src/recovery_measurement.rs
@@ -104,7 +104,7 @@
     let first = script
         .faults
         .iter()
-        .filter(|fault| fault.what != FaultKind::Cut)
+        .filter(|fault| fault.kind != FaultKind::Partition)
         .map(|fault| fault.at)
         .fold(f64::MAX, f64::min);
     let fault = begin + (first * SECOND as f64) as Micros;
--- a/crates/process-tests/src/recovery_measurement/cases.rs
+++ b/crates/process-tests/src/recovery_measurement/cases.rs
@@ -59,7 +59,8 @@
 const HEAVY_REQUESTS: Case = Case { heavy_requests: true, ..COLD_UPSTREAMS };
 const TOO_FEW_CONFIGURED: Case = Case { configured_balancers: Some(4), ..HEAVY_REQUESTS };
 const TOO_MANY_CONFIGURED: Case = Case { configured_balancers: Some(36), ..HEAVY_REQUESTS };
-const EMPTY_LIST: Case = Case { configured_list: ConfiguredList::Hollow, load_after_s: 13.0, ..STATE_LOST };
+const EMPTY_LIST: Case =
+    Case { configured_list: ConfiguredList::EmptyWithVersion, load_after_s: 13.0, ..STATE_LOST };
 
 pub const CASES: &[Case] = &[
     Case { name: "9-of-12", ..BASE },
@@ -152,9 +153,9 @@
 
 pub(super) fn scenario_without_fault(seed: u64, seconds: f64, heavy: bool) -> Scenario {
     let mut fleet = Fleet { balancers: 12, upstreams: 8, ..Fleet::default() };
-    let mut load = Load { rate: 500.0, leave: 0.0, ..Load::default() };
+    let mut load = Load { rate: 500.0, abandon_ratio: 0.0, ..Load::default() };
     if heavy {
-        fleet = Fleet { upstreams: 6, cores: 1, warm_s: 20.0, fall_multiple: 2.0, ..fleet };
+        fleet = Fleet { upstreams: 6, cores: 1, warm_up_s: 20.0, overload_factor: 2.0, ..fleet };
         load = Load { rate: 40.0, work_ms: 70.0, ttl_ms: 3000.0, ..load };
     }
     Scenario { seed, seconds, fleet, load, faults: Vec::new() }
@@ -167,45 +168,54 @@
             self.fault_at_s + DOWNTIME_S + self.load_after_s,
             self.heavy_requests,
         );
-        script.fleet.state = self.keeps_state;
-        (script.fleet.settings, script.fleet.keepers) = (self.configured_balancers, self.registry_replicas);
+        script.fleet.keeps_state = self.keeps_state;
+        (script.fleet.configured_balancers, script.fleet.registry_replicas) =
+            (self.configured_balancers, self.registry_replicas);
         script.fleet.reserve = self.reserve;
         let usual = Fault {
             at: self.fault_at_s,
-            what: FaultKind::Kill,
-            who: String::new(),
-            way: String::new(),
-            lasts: DOWNTIME_S,
-            size: 0.0,
-            within: 0.0,
-            known: self.configured_list,
-            folder: self.state_directory,
+            kind: FaultKind::Kill,
+            targets: String::new(),
+            paths: String::new(),
+            duration_s: DOWNTIME_S,
+            magnitude: 0.0,
+            restart_spread_s: 0.0,
+            configured_list: self.configured_list,
+            state_directory: self.state_directory,
         };
         let who = |who: &str| who.to_string();
         if !self.killed.is_empty() {
-            script.faults.push(Fault { who: who(self.killed), ..usual.clone() });
+            script.faults.push(Fault { targets: who(self.killed), ..usual.clone() });
         }
-        let others = Fault { known: ConfiguredList::Last, folder: StateDirectoryCondition::Kept, ..usual };
+        let others = Fault {
+            configured_list: ConfiguredList::Last,
+            state_directory: StateDirectoryCondition::Kept,
+            ..usual
+        };
         if self.restart_upstreams {
             script.faults.push(Fault {
-                what: FaultKind::Restart,
-                who: who("u*"),
-                lasts: 0.0,
+                kind: FaultKind::Restart,
+                targets: who("u*"),
+                duration_s: 0.0,
                 ..others.clone()
             });
         }
         if !self.partitioned_paths.is_empty() {
             let cut = Fault {
-                what: FaultKind::Cut,
-                way: who(self.partitioned_paths),
+                kind: FaultKind::Partition,
+                paths: who(self.partitioned_paths),
                 at: self.fault_at_s - 2.0,
-                lasts: 0.0,
+                duration_s: 0.0,
                 ..others.clone()
             };
             script.faults.push(cut);
         }
         if self.discovery_outage_s > 0.0 {
-            script.faults.push(Fault { what: FaultKind::ListAway, lasts: self.discovery_outage_s, ..others });
+            script.faults.push(Fault {
+                kind: FaultKind::DiscoveryOutage,
+                duration_s: self.discovery_outage_s,
+                ..others
+            });
         }
         script
     }
--- a/crates/process-tests/src/shrink.rs
+++ b/crates/process-tests/src/shrink.rs
@@ -1,40 +1,43 @@
-//! A script that breaks a rule, made smaller while it still breaks the same one: fewer faults, a shorter load, fewer parties.
-//! Processes are not the same twice, so each change is played a few times. It must never keep a change that was not seen to
-//! break the rule.
+//! Shrinks a scenario that violates a rule while it still violates the same one: fewer faults, a shorter
+//! load, fewer processes. Runs of real processes differ, so each change is tried more than once. A change is
+//! kept only if a run with it violated the rule.
 
 use crate::scenario::Scenario;
 
-/// Plays at the most.
-const MAX_TRIES: usize = 60;
-/// So often a change may fail to show the rule before it is given up.
+/// The number of runs after which shrinking stops.
+const MAX_RUNS: usize = 60;
+/// The number of runs without the violation after which a change is dropped.
 const RUNS_PER_CHANGE: usize = 2;
 
+/// Shrinks one scenario.
 pub struct Shrinker<'a> {
     best: Scenario,
-    /// Whether this script breaks the rule, in one play.
-    breaks_rule: Box<dyn FnMut(&Scenario) -> bool + 'a>,
-    pub tries: usize,
+    /// Runs a scenario once and returns true if it violates the rule.
+    violates_rule: Box<dyn FnMut(&Scenario) -> bool + 'a>,
+    /// The number of runs so far.
+    pub run_count: usize,
 }
 
 impl<'a> Shrinker<'a> {
-    pub fn new(script: &Scenario, breaks: impl FnMut(&Scenario) -> bool + 'a) -> Shrinker<'a> {
-        Shrinker { best: script.clone(), breaks_rule: Box::new(breaks), tries: 0 }
+    /// Returns a shrinker; `violates_rule` runs a scenario once and returns true if it violates the rule.
+    pub fn new(scenario: &Scenario, violates_rule: impl FnMut(&Scenario) -> bool + 'a) -> Shrinker<'a> {
+        Shrinker { best: scenario.clone(), violates_rule: Box::new(violates_rule), run_count: 0 }
     }
 
     fn try_change(&mut self, change: impl FnOnce(&mut Scenario)) -> bool {
-        let mut script = self.best.clone();
-        change(&mut script);
-        // A change may leave a fault without those it named.
-        if script == self.best || Scenario::parse(&script.to_toml()).is_err() {
+        let mut scenario = self.best.clone();
+        change(&mut scenario);
+        // A change may remove a process that a fault names, which makes the scenario invalid.
+        if scenario == self.best || Scenario::parse(&scenario.to_toml()).is_err() {
             return false;
         }
         for _ in 0..RUNS_PER_CHANGE {
-            if self.tries >= MAX_TRIES {
+            if self.run_count >= MAX_RUNS {
                 return false;
             }
-            self.tries += 1;
-            if (self.breaks_rule)(&script) {
-                self.best = script;
+            self.run_count += 1;
+            if (self.violates_rule)(&scenario) {
+                self.best = scenario;
                 return true;
             }
         }
@@ -43,34 +46,35 @@
 
     fn run_round(&mut self) -> bool {
         let before = self.best.clone();
-        let mut place = 0;
-        while place < self.best.faults.len() {
-            if !self.try_change(|script| drop(script.faults.remove(place))) {
-                place += 1;
+        let mut index = 0;
+        while index < self.best.faults.len() {
+            if !self.try_change(|scenario| drop(scenario.faults.remove(index))) {
+                index += 1;
             }
         }
-        // Permits and limits need keepers, and keepers balancers.
-        self.try_change(|script| script.fleet.permits = None);
-        self.try_change(|script| script.fleet.claims = false);
-        self.try_change(|script| (script.fleet.limit, script.fleet.floor) = (None, None));
-        self.try_change(|script| script.fleet.keepers = None);
-        self.try_change(|script| script.seconds = (script.seconds / 2.0).max(1.0));
-        self.try_change(|script| script.fleet.balancers = (script.fleet.balancers / 2).max(1));
-        self.try_change(|script| script.fleet.balancers -= usize::from(script.fleet.balancers > 1));
-        self.try_change(|script| script.fleet.upstreams = (script.fleet.upstreams / 2).max(1));
-        self.try_change(|script| script.fleet.upstreams -= usize::from(script.fleet.upstreams > 1));
-        self.try_change(|script| script.load.rate = (script.load.rate / 2.0).round().max(1.0));
-        for place in 0..self.best.faults.len() {
-            self.try_change(|script| {
-                script.faults[place].lasts = (script.faults[place].lasts * 5.0).floor() / 10.0
+        // Permits, fault reports and limits need registry replicas, and these need balancers, hence this
+        // order.
+        self.try_change(|scenario| scenario.fleet.permits = None);
+        self.try_change(|scenario| scenario.fleet.fault_reports = false);
+        self.try_change(|scenario| (scenario.fleet.limit, scenario.fleet.fallback_rate) = (None, None));
+        self.try_change(|scenario| scenario.fleet.registry_replicas = None);
+        self.try_change(|scenario| scenario.seconds = (scenario.seconds / 2.0).max(1.0));
+        self.try_change(|scenario| scenario.fleet.balancers = (scenario.fleet.balancers / 2).max(1));
+        self.try_change(|scenario| scenario.fleet.balancers -= usize::from(scenario.fleet.balancers > 1));
+        self.try_change(|scenario| scenario.fleet.upstreams = (scenario.fleet.upstreams / 2).max(1));
+        self.try_change(|scenario| scenario.fleet.upstreams -= usize::from(scenario.fleet.upstreams > 1));
+        self.try_change(|scenario| scenario.load.rate = (scenario.load.rate / 2.0).round().max(1.0));
+        for index in 0..self.best.faults.len() {
+            self.try_change(|scenario| {
+                scenario.faults[index].duration_s = (scenario.faults[index].duration_s * 5.0).floor() / 10.0
             });
         }
         self.best != before
     }
 
-    /// The smallest script that was found.
+    /// Shrinks the scenario and returns the smallest one that was found.
     pub fn shrink(&mut self) -> Scenario {
-        while self.run_round() && self.tries < MAX_TRIES {}
+        while self.run_round() && self.run_count < MAX_RUNS {}
         self.best.clone()
     }
 }
--- a/crates/process-tests/tests/limits.rs
+++ b/crates/process-tests/tests/limits.rs
@@ -1,5 +1,6 @@
-//! That the checker of limits sees a real fleet that passes one: balancers with no limit, and ones that each let in on their
-//! own what all may together. The fleets that keep theirs are among the kept scenarios.
+//! Checks that the checker of fleet limits reports real fleets that exceed one: balancers without a limit,
+//! and balancers that each admit the limit of the whole fleet. Fleets that keep their limits are among the
+//! kept scenarios.
 
 use std::collections::BTreeSet;
 
@@ -7,25 +8,25 @@
 use doorproxy_process_tests::cluster::{RunOptions, run_scenario};
 use doorproxy_process_tests::scenario::Scenario;
 
-/// What breaks where this scenario is played otherwise than it is checked.
-fn broken_rules(played: impl Fn(&mut Scenario)) -> BTreeSet<&'static str> {
+/// Returns the rules that are violated when the scenario runs with a change that the checker doesn't know of.
+fn violated_rules(change: impl Fn(&mut Scenario)) -> BTreeSet<&'static str> {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/scenarios/limit-with-floors-in-halves.toml");
-    let script = Scenario::parse(&std::fs::read_to_string(path).unwrap()).unwrap();
-    let mut other = script.clone();
-    other.seconds = 10.0;
-    other.faults.truncate(1);
-    let checked = other.clone();
-    played(&mut other);
-    let folder = tempfile::tempdir().unwrap();
-    let played = run_scenario(&other, &RunOptions::with_built_program(folder.path()).unwrap()).unwrap();
-    checkers::check_history(&checked, &played.history).into_iter().map(|finding| finding.rule).collect()
+    let mut checked = Scenario::parse(&std::fs::read_to_string(path).unwrap()).unwrap();
+    checked.seconds = 10.0;
+    checked.faults.truncate(1);
+    let mut changed = checked.clone();
+    change(&mut changed);
+    let directory = tempfile::tempdir().unwrap();
+    let report = run_scenario(&changed, &RunOptions::with_built_program(directory.path()).unwrap()).unwrap();
+    checkers::check_history(&checked, &report.history).into_iter().map(|violation| violation.rule).collect()
 }
 
-/// Guards against verdicts that no fleet could fail.
+/// Guards against a checker that no fleet can fail.
 #[test]
-fn a_fleet_that_passes_its_limit_is_found() {
-    let over = BTreeSet::from(["over-limit"]);
-    assert_eq!(broken_rules(|script| script.fleet.limit = None), over);
-    // Three that are cut off let in a whole limit each, where the stated floor is 5 a second.
-    assert_eq!(broken_rules(|script| script.fleet.floor = script.fleet.limit), over);
+fn fleet_that_exceeds_its_limit_is_found() {
+    let over_limit = BTreeSet::from(["over-limit"]);
+    assert_eq!(violated_rules(|scenario| scenario.fleet.limit = None), over_limit);
+    // Three disconnected balancers admit the whole limit each, where the stated fallback rate is 5 per
+    // second.
+    assert_eq!(violated_rules(|scenario| scenario.fleet.fallback_rate = scenario.fleet.limit), over_limit);
 }
--- a/crates/process-tests/tests/plants.rs
+++ b/crates/process-tests/tests/plants.rs
@@ -1,4 +1,5 @@
-//! Balancers that are wrong in one way each, on the same test cluster as the real ones: every checker is seen to fail.
+//! Balancers that are wrong in one way each, on the same test cluster as the real ones: every checker is seen
+//! to fail.
 
 use std::path::Path;
 use std::sync::Mutex;
@@ -32,7 +33,8 @@
 fn broken_rules(plant: &str, fault: &str) -> Vec<&'static str> {
     // What comes 5.5 s late has to come within the play, on a busy machine as well.
     let seconds = if plant == "token-late" { 9.0 } else { 5.0 };
-    // a warming one bears so little that eight attempts for each look are too many also where the test cluster has half a core.
+    // a warming one bears so little that eight attempts for each look are too many also where the test
+    // cluster has half a core.
     let mut text = format!(
         "seed = 11\nseconds = {seconds:?}\n\
          fleet = {{ balancers = 2, upstreams = 4, ask_within_s = 2.0, cold_from = 0.05, warm_s = 30.0 }}\n\
@@ -52,7 +54,8 @@
     played.broken_rules().into_iter().collect()
 }
 
-/// So many plays side by side: they wait more than they work, and all at once a machine with other work starves them.
+/// So many plays side by side: they wait more than they work, and all at once a machine with other work
+/// starves them.
 const PARALLEL_RUNS: usize = 11;
 
 #[test]
--- a/crates/process-tests/tests/recovery.rs
+++ b/crates/process-tests/tests/recovery.rs
@@ -43,7 +43,8 @@
     )
 }
 
-/// With a kept folder all four serve while nobody can tell them of an endpoint; without one, or with it lost, none does.
+/// With a kept folder all four serve while nobody can tell them of an endpoint; without one, or with it lost,
+/// none does.
 #[test]
 fn a_kept_state_directory_serves_before_discovery_is_back() {
     let cases = [(true, "kept"), (true, "emptied"), (false, "kept")];
@@ -59,7 +60,8 @@
     }
 }
 
-/// Guards against balancers that refuse before idle endpoints, since idle ones had borne little before they restarted.
+/// Guards against balancers that refuse before idle endpoints, since idle ones had borne little before they
+/// restarted.
 #[test]
 fn upstreams_that_were_idle_are_used_while_they_warm() {
     let text = "seed = 6\nseconds = 8.0\n\
--- a/crates/process-tests/tests/scenarios.rs
+++ b/crates/process-tests/tests/scenarios.rs
@@ -54,8 +54,8 @@
         .collect()
 }
 
-/// Guards against balancers that go on when the test cluster itself is killed, and against a history without an end that passes
-/// for a whole one.
+/// Guards against balancers that go on when the test cluster itself is killed, and against a history without
+/// an end that passes for a whole one.
 #[test]
 fn a_stage_that_is_killed_takes_its_processes_with_it_and_leaves_a_history() {
     let folder = tempfile::tempdir().unwrap();
--- a/crates/process-tests/tests/verdicts.rs
+++ b/crates/process-tests/tests/verdicts.rs
@@ -1,25 +1,26 @@
-//! That the checker of words for the whole fleet sees real balancers that do not hear them. Those that do are among the kept
-//! scenarios.
+//! That the checker of words for the whole fleet sees real balancers that do not hear them. Those that do are
+//! among the kept scenarios.
 
 use doorproxy_process_tests::checkers;
 use doorproxy_process_tests::cluster::{RunOptions, run_scenario};
 use doorproxy_process_tests::scenario::{Fault, FaultKind, Scenario};
 use doorproxy_test_servers::events::Event;
 
-/// Guards against verdicts that no fleet could fail: all ways between the balancers are cut, and the checker is not told.
+/// Guards against verdicts that no fleet could fail: all ways between the balancers are cut, and the checker
+/// is not told.
 #[test]
 fn a_fleet_that_misses_operator_overrides_is_found() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/scenarios/fleet-word-outlives-its-author.toml");
     let mut script = Scenario::parse(&std::fs::read_to_string(path).unwrap()).unwrap();
     script.faults.truncate(1);
-    (script.seconds, script.faults[0].lasts) = (13.0, 12.0);
+    (script.seconds, script.faults[0].duration_s) = (13.0, 12.0);
     let usual = script.faults[0].clone();
     let cut = Fault {
         at: 0.0,
-        what: FaultKind::Cut,
-        who: String::new(),
-        way: "n*<->n*".to_string(),
-        lasts: 13.0,
+        kind: FaultKind::Partition,
+        targets: String::new(),
+        paths: "n*<->n*".to_string(),
+        duration_s: 13.0,
         ..usual
     };
     script.faults.insert(0, cut);
