--- a/crates/process-tests/src/checkers/fleet_limits.rs
+++ b/crates/process-tests/src/checkers/fleet_limits.rs
@@ -130,7 +130,8 @@
                 if overshoot > allowed_overshoot {
                     let text = format!(
                         "{count} requests were admitted in {seconds:.3} s from {from} us on: \
-                         {overshoot:.1} over the rate, {allowed_overshoot:.1} allowed with {disconnected} balancers disconnected"
+                         {overshoot:.1} over the rate, {allowed_overshoot:.1} allowed with {disconnected} \
+                         balancers disconnected"
                     );
                     violations.report("over-limit", arrived, text);
                     break;
--- a/crates/process-tests/src/history/tests.rs
+++ b/crates/process-tests/src/history/tests.rs
@@ -49,7 +49,10 @@
         r#"{"at":1,"what":"fell","server":"u0","start":1}"#,
         r#"{"at":1,"what":"ended","server":"u0"}"#,
         r#"{"at":1,"what":"called","node":"n0","status":200}"#,
-        r#"{"at":1,"what":"told","node":"n0","version":1,"whole":true,"rows":[{"server":"u0","state":"active","started":0}]}"#,
+        concat!(
+            r#"{"at":1,"what":"told","node":"n0","version":1,"whole":true,"#,
+            r#""rows":[{"server":"u0","state":"active","started":0}]}"#
+        ),
         r#"{"at":1,"what":"listed","server":"u0","state":"left"}"#,
         r#"{"at":1,"what":"process","node":"n0","id":1,"did":"started"}"#,
         r#"{"at":1,"what":"process","node":"n0","id":1,"did":"ready"}"#,
--- a/crates/process-tests/tests/plants.rs
+++ b/crates/process-tests/tests/plants.rs
@@ -1,5 +1,5 @@
-//! Balancers that are wrong in one way each, on the same test cluster as the real ones: every checker is seen
-//! to fail.
+//! Checks that the checkers find mutants: balancers with one fault each, run on the same test cluster as the
+//! real ones.
 
 use std::path::Path;
 use std::sync::Mutex;
@@ -7,7 +7,8 @@
 use doorproxy_process_tests::cluster::{HANG_TIMEOUT, RunOptions, run_scenario};
 use doorproxy_process_tests::scenario::Scenario;
 
-/// Each plant, the rules as which it may show, and what makes it show beside the load.
+/// Each mutant: its name, the rules of which it must violate at least one, and the fault that it needs to
+/// show, if the load alone is not enough.
 const MUTANTS: &[(&str, &[&str], &str)] = &[
     ("twice", &["repeated", "effect-twice"], ""),
     ("token-late", &["repeated"], ""),
@@ -17,7 +18,8 @@
     ("no-answer", &["unanswered"], ""),
     ("second-answer", &["second-answer"], ""),
     ("other-answer", &["wrong-answer"], ""),
-    // All fail: with one failing, in a third of the plays no non-idempotent request came to it.
+    // All endpoints fail: with only one failing, it received no non-idempotent request in a third of the
+    // runs.
     ("nack-after-run", &["nack-after-run"], "what = \"fail\"\nwho = \"u*\"\nfor = 3.0"),
     ("turned-away", &["turned-away"], ""),
     ("after-drain", &["drain"], "what = \"drain\"\nwho = \"u0\""),
@@ -30,11 +32,12 @@
     ("deaf", &["stale"], "what = \"drain\"\nwho = \"u0\""),
 ];
 
-fn broken_rules(plant: &str, fault: &str) -> Vec<&'static str> {
-    // What comes 5.5 s late has to come within the play, on a busy machine as well.
-    let seconds = if plant == "token-late" { 9.0 } else { 5.0 };
-    // a warming one bears so little that eight attempts for each look are too many also where the test
-    // cluster has half a core.
+/// Runs a mutant and returns the rules that it violates; the mutant `none` is a correct balancer.
+fn violated_rules(mutant: &str, fault: &str) -> Vec<&'static str> {
+    // This mutant sends an attempt 5.5 s late, which has to arrive within the run on a busy machine too.
+    let seconds = if mutant == "token-late" { 9.0 } else { 5.0 };
+    // A warming endpoint has so little capacity that eight attempts for each idempotent request overload it
+    // even if the test cluster gets only half a core.
     let mut text = format!(
         "seed = 11\nseconds = {seconds:?}\n\
          fleet = {{ balancers = 2, upstreams = 4, ask_within_s = 2.0, cold_from = 0.05, warm_s = 30.0 }}\n\
@@ -43,47 +46,47 @@
     if !fault.is_empty() {
         text += &format!("[[fault]]\nat = 0.5\n{fault}\n");
     }
-    let folder = tempfile::tempdir().unwrap();
-    // Two mutants never come to their end; only a wrong verdict on the good one could come of haste.
-    let guard = if plant == "none" { HANG_TIMEOUT } else { 8_000_000 };
+    let directory = tempfile::tempdir().unwrap();
+    // Two mutants never end by themselves, so mutants get a short timeout. It could only cause a false
+    // violation for a correct balancer, which gets the full one.
+    let hang_timeout = if mutant == "none" { HANG_TIMEOUT } else { 8_000_000 };
     let program = Path::new(env!("CARGO_BIN_EXE_doorproxy-planted")).to_path_buf();
-    let arguments = ["--plant", plant].map(String::from).to_vec();
-    let staging =
-        RunOptions { program, arguments, directory: folder.path().to_path_buf(), hang_timeout: guard };
-    let played = run_scenario(&Scenario::parse(&text).unwrap(), &staging).unwrap();
-    played.broken_rules().into_iter().collect()
+    let arguments = ["--plant", mutant].map(String::from).to_vec();
+    let options = RunOptions { program, arguments, directory: directory.path().to_path_buf(), hang_timeout };
+    let report = run_scenario(&Scenario::parse(&text).unwrap(), &options).unwrap();
+    report.broken_rules().into_iter().collect()
 }
 
-/// So many plays side by side: they wait more than they work, and all at once a machine with other work
-/// starves them.
+/// The number of concurrent runs. They wait more than they compute, but all at once would be starved on a
+/// machine with other work.
 const PARALLEL_RUNS: usize = 11;
 
 #[test]
-fn every_mutant_is_found_and_a_correct_balancer_is_not() {
-    let none = ["drain\"\nwho = \"u0", "restart\"\nwho = \"u1", "put-out\"\nwho = \"u2 at n0"];
-    let none = none.map(|fault| ("none", &[][..], format!("what = \"{fault}\"")));
-    let planted = MUTANTS.iter().map(|(plant, rules, fault)| (*plant, *rules, fault.to_string()));
-    // Taken from the end: first those that must be clean, beside all others.
-    let left = Mutex::new(planted.chain(none).collect::<Vec<_>>());
-    let missed = Mutex::new(Vec::new());
+fn mutants_violate_rules_and_a_correct_balancer_does_not() {
+    let correct = ["drain\"\nwho = \"u0", "restart\"\nwho = \"u1", "put-out\"\nwho = \"u2 at n0"];
+    let correct = correct.map(|fault| ("none", &[][..], format!("what = \"{fault}\"")));
+    let mutants = MUTANTS.iter().map(|(mutant, rules, fault)| (*mutant, *rules, fault.to_string()));
+    // Runs are taken from the end, so the correct balancers run while the machine is busiest.
+    let remaining = Mutex::new(mutants.chain(correct).collect::<Vec<_>>());
+    let unexpected = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for _ in 0..PARALLEL_RUNS {
             scope.spawn(|| {
                 loop {
-                    let Some((plant, rules, fault)) = left.lock().unwrap().pop() else { return };
-                    let found = broken_rules(plant, &fault);
-                    let is_right = if rules.is_empty() {
-                        found.is_empty()
+                    let Some((mutant, rules, fault)) = remaining.lock().unwrap().pop() else { return };
+                    let violated = violated_rules(mutant, &fault);
+                    let is_expected = if rules.is_empty() {
+                        violated.is_empty()
                     } else {
-                        rules.iter().any(|rule| found.contains(rule))
+                        rules.iter().any(|rule| violated.contains(rule))
                     };
-                    if !is_right {
-                        missed.lock().unwrap().push((plant, found));
+                    if !is_expected {
+                        unexpected.lock().unwrap().push((mutant, violated));
                     }
                 }
             });
         }
     });
-    let missed = missed.into_inner().unwrap();
-    assert!(missed.is_empty(), "not as expected: {missed:?}");
+    let unexpected = unexpected.into_inner().unwrap();
+    assert!(unexpected.is_empty(), "unexpected violated rules by mutant: {unexpected:?}");
 }
--- a/crates/process-tests/tests/recovery.rs
+++ b/crates/process-tests/tests/recovery.rs
@@ -1,27 +1,32 @@
-//! Coming back with a kept state, on real processes: who serves before the list is back, and from what.
+//! Tests of recovery with real processes: which balancers serve requests before discovery is back, and which
+//! endpoints they use.
 
 use doorproxy_process_tests::cluster::{RunOptions, RunReport, run_scenario};
 use doorproxy_process_tests::scenario::Scenario;
 use doorproxy_test_servers::events::{Event, ProcessChange};
 
 fn run_text(text: &str) -> RunReport {
-    let folder = tempfile::tempdir().unwrap();
-    run_scenario(&Scenario::parse(text).unwrap(), &RunOptions::with_built_program(folder.path()).unwrap())
-        .unwrap()
+    let directory = tempfile::tempdir().unwrap();
+    let options = RunOptions::with_built_program(directory.path()).unwrap();
+    run_scenario(&Scenario::parse(text).unwrap(), &options).unwrap()
 }
 
-/// Requests that each balancer served between its return and the first word of the list service to it.
-fn served_before_discovery(played: &RunReport) -> Vec<(String, bool)> {
-    let lines = &played.history.lines;
+/// Returns, for each balancer, true if it served a request after its restart and before its first call of
+/// discovery.
+fn served_before_discovery(report: &RunReport) -> Vec<(String, bool)> {
+    let lines = &report.history.lines;
     let killed = lines
         .iter()
         .position(|line| matches!(&line.event, Event::Process { did: ProcessChange::Killed, .. }))
         .unwrap();
-    let of_node = |node: &str| {
+    let served = |node: &str| {
         let mut ops = std::collections::BTreeSet::new();
-        let after = lines[killed..].iter().skip_while(
-            |line| !matches!(&line.event, Event::Process { node: of, did: ProcessChange::Started, .. } if of == node),
-        );
+        let after = lines[killed..].iter().skip_while(|line| {
+            !matches!(
+                &line.event,
+                Event::Process { node: of, did: ProcessChange::Started, .. } if of == node
+            )
+        });
         for line in after {
             match &line.event {
                 Event::DiscoveryCalled { node: of, .. } if of == node => return false,
@@ -32,50 +37,54 @@
         }
         false
     };
-    ["n0", "n1", "n2", "n3"].map(|node| (node.to_string(), of_node(node))).to_vec()
+    ["n0", "n1", "n2", "n3"].map(|node| (node.to_string(), served(node))).to_vec()
 }
 
-fn scenario_text(state: bool, folder: &str) -> String {
+fn scenario_text(keeps_state: bool, state_directory: &str) -> String {
     format!(
-        "seed = 5\nseconds = 9.0\nfleet = {{ balancers = 4, upstreams = 4, state = {state} }}\n\
+        "seed = 5\nseconds = 9.0\nfleet = {{ balancers = 4, upstreams = 4, state = {keeps_state} }}\n\
          [[fault]]\nat = 1.9\nwhat = \"list-away\"\nfor = 6.0\n\
-         [[fault]]\nat = 2.0\nwhat = \"kill\"\nwho = \"n*\"\nfor = 0.5\nknown = \"empty\"\nfolder = {folder:?}\n"
+         [[fault]]\nat = 2.0\nwhat = \"kill\"\nwho = \"n*\"\nfor = 0.5\nknown = \"empty\"\n\
+         folder = {state_directory:?}\n"
     )
 }
 
-/// With a kept folder all four serve while nobody can tell them of an endpoint; without one, or with it lost,
-/// none does.
+/// With a kept state directory all four balancers serve requests while discovery is away and the configured
+/// list is empty. Without a state directory, or with an emptied one, none does.
 #[test]
-fn a_kept_state_directory_serves_before_discovery_is_back() {
+fn kept_state_directory_serves_before_discovery_is_back() {
     let cases = [(true, "kept"), (true, "emptied"), (false, "kept")];
-    let plays = std::thread::scope(|scope| {
-        let plays = cases.map(|(state, folder)| scope.spawn(move || run_text(&scenario_text(state, folder))));
-        plays.map(|play| play.join().unwrap())
+    let reports = std::thread::scope(|scope| {
+        let runs = cases.map(|(keeps_state, directory)| {
+            scope.spawn(move || run_text(&scenario_text(keeps_state, directory)))
+        });
+        runs.map(|run| run.join().unwrap())
     });
-    for ((state, folder), played) in cases.into_iter().zip(plays) {
-        assert_eq!(played.findings, [], "{state} {folder}");
-        let expected = state && folder == "kept";
-        let served = served_before_discovery(&played);
-        assert!(served.iter().all(|(_, is_served)| *is_served == expected), "{state} {folder}: {served:?}");
+    for ((keeps_state, directory), report) in cases.into_iter().zip(reports) {
+        let case = format!("state: {keeps_state}, directory: {directory}");
+        assert_eq!(report.findings, [], "{case}");
+        let expected = keeps_state && directory == "kept";
+        let served = served_before_discovery(&report);
+        assert!(served.iter().all(|(_, has_served)| *has_served == expected), "{case}: {served:?}");
     }
 }
 
-/// Guards against balancers that refuse before idle endpoints, since idle ones had borne little before they
-/// restarted.
+/// Guards against balancers that reject requests although the endpoints are idle: endpoints that had little
+/// load before they restarted count as able to sustain little.
 #[test]
-fn upstreams_that_were_idle_are_used_while_they_warm() {
+fn lightly_loaded_upstreams_are_used_while_they_warm() {
     let text = "seed = 6\nseconds = 8.0\n\
                 fleet = { balancers = 3, upstreams = 4, warm_s = 60.0 }\nload = { rate = 120.0 }\n\
                 [[fault]]\nat = 2.0\nwhat = \"restart\"\nwho = \"u*\"\n";
-    let played = run_text(text);
-    assert_eq!(played.findings, []);
-    let from =
-        played.history.lines.iter().position(|line| matches!(&line.event, Event::Fault { .. })).unwrap();
-    let answers = played.history.lines[from..].iter().filter_map(|line| match &line.event {
+    let report = run_text(text);
+    assert_eq!(report.findings, []);
+    let lines = &report.history.lines;
+    let restart = lines.iter().position(|line| matches!(&line.event, Event::Fault { .. })).unwrap();
+    let statuses = lines[restart..].iter().filter_map(|line| match &line.event {
         Event::ResponseReceived { status, .. } => Some(*status),
         _ => None,
     });
-    let (served, refused): (Vec<u16>, Vec<u16>) = answers.partition(|status| *status == 200);
-    // Of 700 or so, and some that the restart itself broke off.
-    assert!(refused.len() * 4 < served.len(), "{} were served, {} refused", served.len(), refused.len());
+    let (served, unserved): (Vec<u16>, Vec<u16>) = statuses.partition(|status| *status == 200);
+    // There are about 700 responses; a few are errors because the restart itself interrupted their requests.
+    assert!(unserved.len() * 4 < served.len(), "{} served, {} not served", served.len(), unserved.len());
 }
--- a/crates/process-tests/tests/scenarios.rs
+++ b/crates/process-tests/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! What becomes of a test cluster that breaks down itself.
+//! Tests of how the test cluster behaves when a part of it fails.
 
 use std::path::Path;
 use std::process::{Command, Stdio};
@@ -10,79 +10,80 @@
 use doorproxy_process_tests::scenario::{Scenario, StateDirectoryCondition};
 use serde_json::json;
 
-/// Longer than anything here takes.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// The timeout of every wait; each of them normally takes much less.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Guards against a minute of waiting for a program that has refused its configuration.
+/// Guards against waiting a minute for a program that rejected its configuration and exited.
 #[test]
-fn a_program_that_ends_before_it_is_ready_is_told_at_once() {
-    let folder = tempfile::tempdir().unwrap();
+fn program_that_exits_before_it_is_ready_is_an_error_at_once() {
+    let directory = tempfile::tempdir().unwrap();
     let program = Path::new("/bin/false").to_path_buf();
-    let staging = RunOptions { program, ..RunOptions::with_built_program(folder.path()).unwrap() };
-    let begun = Instant::now();
-    let error =
-        run_scenario(&Scenario::parse("seed = 1\nseconds = 3.0").unwrap(), &staging).map(|_| ()).unwrap_err();
+    let options = RunOptions { program, ..RunOptions::with_built_program(directory.path()).unwrap() };
+    let scenario = Scenario::parse("seed = 1\nseconds = 3.0").unwrap();
+    let start = Instant::now();
+    let error = run_scenario(&scenario, &options).map(|_| ()).unwrap_err();
     assert!(error.contains("ended before it was ready"), "{error}");
-    assert!(begun.elapsed() < PATIENCE, "it took {:?}", begun.elapsed());
+    assert!(start.elapsed() < TIMEOUT, "it took {:?}", start.elapsed());
 }
 
-fn is_there(process: u32) -> bool {
+fn is_running(process: u32) -> bool {
     Path::new("/proc").join(process.to_string()).exists()
 }
 
-/// Guards against processes that outlive a test which panicked.
+/// Guards against processes that outlive a test that panicked.
 #[test]
-fn a_panic_ends_and_reaps_the_process() {
-    let folder = tempfile::tempdir().unwrap();
-    let program = RunOptions::with_built_program(folder.path()).unwrap().program;
+fn process_is_killed_and_reaped_when_its_test_panics() {
+    let directory = tempfile::tempdir().unwrap();
+    let program = RunOptions::with_built_program(directory.path()).unwrap().program;
     let id = Mutex::new(0);
     let panicked = std::panic::catch_unwind(|| {
-        let mut node = Node::new("n0", folder.path(), &program, &[]).unwrap();
+        let mut node = Node::new("n0", directory.path(), &program, &[]).unwrap();
         node.child = Some(node.spawn(&json!({}), StateDirectoryCondition::Kept).unwrap());
         *id.lock().unwrap() = node.process_id();
-        assert!(is_there(node.process_id()));
-        panic!("as a test does");
+        assert!(is_running(node.process_id()));
+        panic!("a panic as in a failing test");
     });
     assert!(panicked.is_err());
-    assert!(!is_there(id.into_inner().unwrap_or_else(|of| of.into_inner())));
+    assert!(!is_running(id.into_inner().unwrap_or_else(|poisoned| poisoned.into_inner())));
 }
 
 fn children(process: u32) -> Vec<u32> {
     let tasks = std::fs::read_dir(format!("/proc/{process}/task")).into_iter().flatten().flatten();
-    let told = tasks.filter_map(|task| std::fs::read_to_string(task.path().join("children")).ok());
-    told.flat_map(|told| told.split_whitespace().map(|id| id.parse().unwrap()).collect::<Vec<u32>>())
+    let lists = tasks.filter_map(|task| std::fs::read_to_string(task.path().join("children")).ok());
+    lists
+        .flat_map(|list| list.split_whitespace().map(|id| id.parse().unwrap()).collect::<Vec<u32>>())
         .collect()
 }
 
-/// Guards against balancers that go on when the test cluster itself is killed, and against a history without
-/// an end that passes for a whole one.
+/// Guards against balancers that outlive a test cluster that is killed, and against a truncated history that
+/// is checked as if it were complete.
 #[test]
-fn a_stage_that_is_killed_takes_its_processes_with_it_and_leaves_a_history() {
-    let folder = tempfile::tempdir().unwrap();
-    let script = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/scenarios/half-paused.toml");
-    let mut stage = Command::new(env!("CARGO_BIN_EXE_doorproxy-processes"));
-    stage.args(["play", "--script"]).arg(&script).arg("--out").arg(folder.path());
-    let mut stage = stage.stdout(Stdio::null()).spawn().unwrap();
-    let until = Instant::now() + PATIENCE;
-    let history = folder.path().join("history.jsonl");
+fn killed_cluster_ends_its_processes_and_leaves_a_history() {
+    let directory = tempfile::tempdir().unwrap();
+    let scenario = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/scenarios/half-paused.toml");
+    let mut command = Command::new(env!("CARGO_BIN_EXE_doorproxy-processes"));
+    command.args(["play", "--script"]).arg(&scenario).arg("--out").arg(directory.path());
+    let mut cluster = command.stdout(Stdio::null()).spawn().unwrap();
+    let deadline = Instant::now() + TIMEOUT;
+    let history = directory.path().join("history.jsonl");
     let is_under_way = || std::fs::metadata(&history).is_ok_and(|file| file.len() > 50_000);
-    while (children(stage.id()).len() < 6 || !is_under_way()) && Instant::now() < until {
+    while (children(cluster.id()).len() < 6 || !is_under_way()) && Instant::now() < deadline {
         std::thread::sleep(Duration::from_millis(10));
     }
-    let left = children(stage.id());
-    assert_eq!(left.len(), 6);
-    stage.kill().unwrap();
-    stage.wait().unwrap();
-    while left.iter().any(|id| is_there(*id)) {
-        assert!(Instant::now() < until, "{left:?} go on");
+    let processes = children(cluster.id());
+    assert_eq!(processes.len(), 6);
+    cluster.kill().unwrap();
+    cluster.wait().unwrap();
+    while processes.iter().any(|id| is_running(*id)) {
+        assert!(Instant::now() < deadline, "some of {processes:?} still run");
         std::thread::sleep(Duration::from_millis(10));
     }
-    let told = Command::new(env!("CARGO_BIN_EXE_doorproxy-processes"))
+    let output = Command::new(env!("CARGO_BIN_EXE_doorproxy-processes"))
         .args(["check", "--script"])
-        .arg(&script)
+        .arg(&scenario)
         .arg(&history)
         .output()
         .unwrap();
-    let told = String::from_utf8(told.stdout).unwrap();
-    assert!(told.contains("0 violations in"), "{told}");
+    let output = String::from_utf8(output.stdout).unwrap();
+    assert!(output.contains("0 violations in"), "{output}");
 }
