--- a/crates/process-tests/src/scenario/fault.rs
+++ b/crates/process-tests/src/scenario/fault.rs
@@ -206,7 +206,7 @@
     /// Returns the meaning of `size` with its least and greatest value, or none if the kind has no `size`.
     pub(super) fn magnitude_range(self) -> Option<(&'static str, f64, f64)> {
         match self {
-            FaultKind::Delay => Some(("milliseconds each way", 0.0, 10_000.0)),
+            FaultKind::Delay => Some(("milliseconds in each direction", 0.0, 10_000.0)),
             FaultKind::Throttle => Some(("bytes a second", 100.0, 1e9)),
             FaultKind::Loss
             | FaultKind::Reset
--- a/crates/test-servers/src/events.rs
+++ b/crates/test-servers/src/events.rs
@@ -52,104 +52,267 @@
     pub started: Micros,
 }
 
-/// An event of a history. In all events `op` is a request id, `server` an endpoint, `node` a balancer, and
-/// `start` counts the processes of an endpoint from 1.
-#[allow(missing_docs, reason = "the fields that need it are described with their variants")]
+/// An event of a history.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "kebab-case")]
 pub enum Event {
-    /// A client is about to send a request to a balancer. `work` is the processing time that it asks for,
-    /// `ttl` its timeout, and `of` the id of the client's first try.
+    /// A client is about to send a request to a balancer.
     #[serde(rename = "asked")]
-    RequestStarted { op: u64, node: String, kind: RequestClass, work: Micros, ttl: Micros, of: u64 },
+    RequestStarted {
+        /// The request id.
+        op: u64,
+        /// The balancer.
+        node: String,
+        /// The class of the request.
+        kind: RequestClass,
+        /// The processing time that it asks for.
+        work: Micros,
+        /// Its timeout.
+        ttl: Micros,
+        /// The id of the client's first try.
+        of: u64,
+    },
     /// The client wrote the last byte of the request.
     #[serde(rename = "sent")]
-    RequestWritten { op: u64 },
-    /// The client received a complete response. `by` is the endpoint that the body of a served request names.
+    RequestWritten {
+        /// The request id.
+        op: u64,
+    },
+    /// The client received a complete response.
     #[serde(rename = "answered")]
-    ResponseReceived { op: u64, status: u16, by: Option<String> },
+    ResponseReceived {
+        /// The request id.
+        op: u64,
+        /// The status of the response.
+        status: u16,
+        /// The endpoint and the number of its start, as the body of a served request names them.
+        by: Option<String>,
+    },
     /// The connection ended without a complete response.
     #[serde(rename = "lost")]
-    ConnectionLost { op: u64 },
+    ConnectionLost {
+        /// The request id.
+        op: u64,
+    },
     /// The client could connect to no balancer, so the request was never sent.
     #[serde(rename = "untaken")]
-    NotConnected { op: u64 },
+    NotConnected {
+        /// The request id.
+        op: u64,
+    },
     /// The client gave up before its timeout.
     #[serde(rename = "left")]
-    ClientAbandoned { op: u64 },
+    ClientAbandoned {
+        /// The request id.
+        op: u64,
+    },
     /// Neither a response nor the end of the connection came within the hang timeout.
     #[serde(rename = "silent")]
-    ResponseMissing { op: u64 },
+    ResponseMissing {
+        /// The request id.
+        op: u64,
+    },
     /// More bytes followed the complete response.
     #[serde(rename = "second")]
-    ExtraBytes { op: u64 },
-    /// An endpoint received a complete attempt. `first_byte` is when its first byte reached the fault proxy,
-    /// and `right` states that it is as the client sent it.
+    ExtraBytes {
+        /// The request id.
+        op: u64,
+    },
+    /// An endpoint received a complete attempt.
     #[serde(rename = "came")]
-    AttemptReceived { op: u64, server: String, start: u32, node: String, first_byte: Micros, right: bool },
+    AttemptReceived {
+        /// The request id.
+        op: u64,
+        /// The endpoint.
+        server: String,
+        /// The number of its process, counted from 1.
+        start: u32,
+        /// The balancer.
+        node: String,
+        /// When its first byte reached the fault proxy.
+        first_byte: Micros,
+        /// True if it is as the client sent it.
+        right: bool,
+    },
     /// An endpoint declined an attempt and stated that it did not run it.
-    Declined { op: u64, server: String, start: u32 },
+    Declined {
+        /// The request id.
+        op: u64,
+        /// The endpoint.
+        server: String,
+        /// The number of its process, counted from 1.
+        start: u32,
+    },
     /// An endpoint applied the effect of a request.
     #[serde(rename = "ran")]
-    EffectApplied { op: u64, server: String, start: u32 },
+    EffectApplied {
+        /// The request id.
+        op: u64,
+        /// The endpoint.
+        server: String,
+        /// The number of its process, counted from 1.
+        start: u32,
+    },
     /// An endpoint accepted a connection.
     #[serde(rename = "opened")]
-    ConnectionAccepted { server: String, start: u32, node: String },
-    /// A process of an endpoint started. `since` is the start time that the endpoint list states; on a busy
-    /// machine the event itself may be recorded later. `capacity` is the work in seconds that the endpoint
-    /// does per second when warm.
+    ConnectionAccepted {
+        /// The endpoint.
+        server: String,
+        /// The number of its process, counted from 1.
+        start: u32,
+        /// The balancer.
+        node: String,
+    },
+    /// A process of an endpoint started. On a busy machine this may be recorded later than it started.
     #[serde(rename = "started")]
-    UpstreamStarted { server: String, start: u32, cold: bool, since: Micros, capacity: f64 },
+    UpstreamStarted {
+        /// The endpoint.
+        server: String,
+        /// The number of its process, counted from 1.
+        start: u32,
+        /// True if it has to warm up.
+        cold: bool,
+        /// The start time that the endpoint list states.
+        since: Micros,
+        /// The work in seconds that it does per second when warm.
+        capacity: f64,
+    },
     /// A warming endpoint received more work than it can take, and declines everything for the rest of this
     /// process.
     #[serde(rename = "fell")]
-    UpstreamCollapsed { server: String, start: u32 },
+    UpstreamCollapsed {
+        /// The endpoint.
+        server: String,
+        /// The number of its process, counted from 1.
+        start: u32,
+    },
     /// The process of an endpoint ended.
     #[serde(rename = "ended")]
-    UpstreamEnded { server: String },
+    UpstreamEnded {
+        /// The endpoint.
+        server: String,
+    },
     /// A balancer called discovery, which answered with this status.
     #[serde(rename = "called")]
-    DiscoveryCalled { node: String, status: u16 },
-    /// Discovery sent an endpoint list to a balancer. `whole` is false where it holds only changes.
+    DiscoveryCalled {
+        /// The balancer.
+        node: String,
+        /// The status of the response.
+        status: u16,
+    },
+    /// Discovery sent an endpoint list to a balancer.
     #[serde(rename = "told")]
-    ListSent { node: String, version: u64, whole: bool, rows: Vec<ListedEndpoint> },
+    ListSent {
+        /// The balancer.
+        node: String,
+        /// The version of the list.
+        version: u64,
+        /// False if it holds only changes.
+        whole: bool,
+        /// The rows of the list.
+        rows: Vec<ListedEndpoint>,
+    },
     /// The state of an endpoint in the endpoint list from now on.
     #[serde(rename = "listed")]
-    EndpointListed { server: String, state: String },
-    /// A process of a balancer changed its state; `id` is the process id, or 0 where the observer does not
-    /// know it.
-    Process { node: String, id: u32, did: ProcessChange },
-    /// A balancer confirmed a manual override that ejects an endpoint (`out`) or takes that back.
+    EndpointListed {
+        /// The endpoint.
+        server: String,
+        /// `active`, `leaving` or `left`.
+        state: String,
+    },
+    /// A process of a balancer changed its state.
+    Process {
+        /// The balancer.
+        node: String,
+        /// The process id, or 0 if the observer does not know it.
+        id: u32,
+        /// The change.
+        did: ProcessChange,
+    },
+    /// A balancer confirmed a manual ejection, or is about to be asked to end one.
     #[serde(rename = "by-hand")]
-    ManualOverride { node: String, server: String, out: bool },
-    /// A balancer confirmed a fleet override that ejects an endpoint (`out`) or takes that back.
+    ManualOverride {
+        /// The balancer.
+        node: String,
+        /// The endpoint.
+        server: String,
+        /// True to eject the endpoint, false to take that back.
+        out: bool,
+    },
+    /// A balancer confirmed an ejection for the whole fleet, or is about to be asked to end one.
     #[serde(rename = "for-fleet")]
-    FleetOverride { node: String, server: String, out: bool },
+    FleetOverride {
+        /// The balancer.
+        node: String,
+        /// The endpoint.
+        server: String,
+        /// True to eject the endpoint, false to take that back.
+        out: bool,
+    },
     /// All faults were over, and the balancers still reported different fleet overrides after the hang
     /// timeout.
     #[serde(rename = "differ")]
-    OverridesDiffer { text: String },
+    OverridesDiffer {
+        /// The balancers by the overrides that they reported.
+        text: String,
+    },
     /// A balancer's state directory was changed between two of its processes.
     #[serde(rename = "folder")]
-    StateDirectoryChanged { node: String, state: String },
-    /// A balancer's answer, to a call made at `asked`, how many members share the fleet's capacity (`among`),
-    /// and whether it counted them (`counted`) or took the number from its settings.
+    StateDirectoryChanged {
+        /// The balancer.
+        node: String,
+        /// The condition of the directory.
+        state: String,
+    },
+    /// A balancer reported how many members it counts, in response to a query of the harness.
     #[serde(rename = "counted")]
-    MemberCount { node: String, asked: Micros, among: u32, counted: bool },
+    MemberCount {
+        /// The balancer.
+        node: String,
+        /// When the balancer was called.
+        asked: Micros,
+        /// The number of members that share the fleet's capacity.
+        among: u32,
+        /// True if they were counted, false if the number is from the settings.
+        counted: bool,
+    },
     /// The worker at this balancer acts under a permit with this token until the given time.
     #[serde(rename = "acts")]
-    PermitHeld { node: String, token: u64, until: Micros },
+    PermitHeld {
+        /// The balancer.
+        node: String,
+        /// The fencing token.
+        token: u64,
+        /// The end of the granted time.
+        until: Micros,
+    },
     /// The worker at this balancer stopped acting and gives the permit back.
     #[serde(rename = "rests")]
-    PermitReleased { node: String },
+    PermitReleased {
+        /// The balancer.
+        node: String,
+    },
     /// All faults were over, and a balancer served no request within the hang timeout.
     #[serde(rename = "stuck")]
-    BalancerStuck { node: String },
-    /// The harness began a fault, or ended it (`over`); `ways` are the network paths that it affects.
-    Fault { text: String, ways: Vec<(String, String)>, over: bool },
+    BalancerStuck {
+        /// The balancer.
+        node: String,
+    },
+    /// The harness began a fault or ended it.
+    Fault {
+        /// A description of the fault.
+        text: String,
+        /// The affected network paths, from and to.
+        ways: Vec<(String, String)>,
+        /// True if the fault ended.
+        over: bool,
+    },
     /// The largest delay of the harness itself since the previous such event.
     #[serde(rename = "late")]
-    HarnessLate { by: Micros },
+    HarnessLate {
+        /// The delay.
+        by: Micros,
+    },
 }
 
 /// A change of a balancer's process.
--- a/crates/test-servers/src/http.rs
+++ b/crates/test-servers/src/http.rs
@@ -29,8 +29,8 @@
 impl Message {
     /// Returns the value of the first header field of this name, in any letter case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        let found = self.headers.iter().find(|(found, _)| found.eq_ignore_ascii_case(name));
-        found.map(|(_, value)| value.as_str())
+        let header = self.headers.iter().find(|(header, _)| header.eq_ignore_ascii_case(name));
+        header.map(|(_, value)| value.as_str())
     }
 
     /// Returns the value of a header field as a `T`, if the field is there and can be parsed.
@@ -79,8 +79,8 @@
     /// are not a message that this module supports, and with the connection's own error otherwise.
     pub async fn next_message(&mut self) -> io::Result<Option<Message>> {
         let (mut message, head_length, body_length) = loop {
-            if let Some(found) = self.parse_head()? {
-                break found;
+            if let Some(parsed) = self.parse_head()? {
+                break parsed;
             }
             if !self.fill_buffer().await? {
                 return if self.buffer.is_empty() {
