--- a/crates/process-tests/src/cluster.rs
+++ b/crates/process-tests/src/cluster.rs
@@ -24,7 +24,7 @@
 use tokio::task::{JoinHandle, JoinSet};
 
 use crate::admin_client::poll_member_counts;
-use crate::checkers::{self, Finding};
+use crate::checkers::{self, Violation};
 use crate::fault_proxy::FaultProxy;
 use crate::history::{self, History, HistoryWriter};
 use crate::lateness::LatenessMonitor;
@@ -89,7 +89,7 @@
     /// What happened.
     pub history: History,
     /// The rules that broke, and how.
-    pub findings: Vec<Finding>,
+    pub findings: Vec<Violation>,
     /// How late the harness ran at the worst; a measurement with more than [`MAX_LATENESS`] is void.
     pub max_lateness: Micros,
     /// When the load began and ended.
@@ -99,7 +99,7 @@
 impl RunReport {
     /// The rules that broke, each once.
     pub fn broken_rules(&self) -> BTreeSet<&'static str> {
-        self.findings.iter().map(|finding| finding.rule).collect()
+        self.findings.iter().map(|violation| violation.rule).collect()
     }
 }
 
@@ -175,7 +175,7 @@
     async fn run(mut self) -> Result<(Micros, Micros), String> {
         let names: Vec<String> = self.nodes.keys().cloned().collect();
         for name in &names {
-            self.start_balancer(name, self.scenario.fleet.known, StateDirectoryCondition::Kept)?;
+            self.start_balancer(name, self.scenario.fleet.configured_list, StateDirectoryCondition::Kept)?;
         }
         self.tasks.spawn(self.load_generator.clone().watch_readiness());
         self.wait_until_ready(&names).await?;
@@ -185,7 +185,7 @@
         self.spawn_observers(&names);
         self.run_load(begin, end).await?;
         self.check_all_serve().await;
-        if self.scenario.fleet.keepers.is_some() {
+        if self.scenario.fleet.registry_replicas.is_some() {
             self.check_overrides_agree().await;
         }
         self.shut_down().await;
@@ -212,7 +212,7 @@
 
     /// Starts what asks balancers for their members and for permits.
     fn spawn_observers(&mut self, names: &[String]) {
-        if self.scenario.fleet.keepers.is_some() {
+        if self.scenario.fleet.registry_replicas.is_some() {
             for name in names {
                 let address = self.proxy.addresses.admin(name);
                 let history = self.history.clone();
