--- a/crates/simulation/src/arguments.rs
+++ b/crates/simulation/src/arguments.rs
@@ -1,10 +1,10 @@
-//! The command line.
+//! The command line arguments.
 
 use std::path::PathBuf;
 
 use argh::FromArgs;
 
-/// Seeded fault runs of the balancer on a virtual clock and a virtual network.
+/// Run the balancer under seeded faults on a virtual clock and a virtual network.
 #[derive(FromArgs)]
 pub struct Arguments {
     #[argh(subcommand)]
@@ -19,62 +19,62 @@
     Shrink(ShrinkArguments),
 }
 
-/// Play the scripts of a range of seeds and say what broke and what was met.
+/// Run the scripts of a range of seeds and print the broken rules and the coverage.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "run")]
 pub struct RunArguments {
     /// the seeds, such as 0..10000
     #[argh(option)]
     pub seeds: String,
-    /// how many at once (default: as many as there are cores)
+    /// number of runs at once (default: the number of cores)
     #[argh(option)]
     pub jobs: Option<usize>,
-    /// put this fault of its own between balancers and network; `list` names them
+    /// insert this deliberate bug between balancers and network; `list` prints all names
     #[argh(option, long = "plant")]
     pub mutant: Option<String>,
-    /// put sidecars in the balancers' place
+    /// run sidecars in place of balancers
     #[argh(switch)]
     pub sidecar: bool,
-    /// write the sum and number of each run's events to this file, a line each
+    /// write the checksum and the number of each run's events to this file, one line per run
     #[argh(option)]
     pub sums: Option<PathBuf>,
-    /// write the sum and number of the lines of each run's readable trace to this file, a line each
+    /// write the checksum and the number of each run's trace lines to this file, one line per run
     #[argh(option)]
     pub trace_sums: Option<PathBuf>,
 }
 
-/// Play one script again.
+/// Run one script.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "replay")]
 pub struct ReplayArguments {
-    /// draw the script from this seed
+    /// generate the script from this seed
     #[argh(option)]
     pub seed: Option<u64>,
     /// read the script from this file
     #[argh(option, long = "script")]
     pub scenario: Option<PathBuf>,
-    /// with this plant
+    /// insert this deliberate bug
     #[argh(option, long = "plant")]
     pub mutant: Option<String>,
-    /// print everything that happened
+    /// print the trace of the run
     #[argh(switch)]
     pub trace: bool,
 }
 
-/// Make the script of a seed that breaks a rule as small as possible.
+/// Reduce a script that breaks a rule to a smaller one that breaks the same rule.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "shrink")]
 pub struct ShrinkArguments {
-    /// draw the script from this seed
+    /// generate the script from this seed
     #[argh(option)]
     pub seed: Option<u64>,
     /// read the script from this file
     #[argh(option, long = "script")]
     pub scenario: Option<PathBuf>,
-    /// where to write the script
+    /// write the reduced script to this file
     #[argh(option)]
     pub out: PathBuf,
-    /// with this plant
+    /// insert this deliberate bug
     #[argh(option, long = "plant")]
     pub mutant: Option<String>,
 }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,9 +1,10 @@
-//! Deterministic simulation of the balancer's network code: seeded runs on a virtual clock and a virtual network, with
-//! faults, checked against the rules of the service.
+//! Deterministic simulation of the balancer's network code. Seeded runs on a virtual clock and a virtual
+//! network apply faults and check the rules of the service.
 //!
-//! From the bottom up: [`kernel`] (clock, random numbers, events, trace), [`network`], [`simulation`] (the executor),
-//! [`runtime`] and [`stream`] (what a process sees), [`checker`] (the rules), [`context`] (what the processes of a run
-//! share), [`client`], [`upstream`], [`discovery_service`] and [`mutants`], [`cluster`], [`runner`].
+//! The modules from the bottom up are [`kernel`] (clock, random numbers, events, trace), [`network`],
+//! [`simulation`] (the executor), [`runtime`] and [`stream`] (the interface to a process), [`checker`] (the
+//! rules), [`context`] (the state that the processes of a run share), [`client`], [`upstream`],
+//! [`discovery_service`], [`mutants`], [`cluster`] and [`runner`].
 
 #![warn(missing_docs)]
 
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -1,6 +1,6 @@
 //! The command line of the simulation.
 //!
-//! Exits with 0 where no rule is broken, with 1 where one is, and with 2 where a command cannot be carried out.
+//! The exit code is 0 if no rule is broken, 1 if one is, and 2 if the command fails.
 
 mod arguments;
 mod commands;
--- a/crates/simulation/src/scenario/units.rs
+++ b/crates/simulation/src/scenario/units.rs
@@ -1,11 +1,11 @@
-//! Times as a scenario writes them.
+//! The text format of times in a scenario.
 
 use crate::time::{MS, Micros, SECOND};
 
-/// A time has to be shorter, in its unit.
+/// The number before the unit must be smaller than this.
 const MAX_VALUE: f64 = 1e6;
 
-/// Seconds to the microsecond, such as `1.500000s`.
+/// Formats a time as seconds with microseconds, such as `1.500000s`.
 pub fn format_seconds(time: Micros) -> String {
     format!("{}.{:06}s", time / SECOND, time % SECOND)
 }
--- a/crates/simulation/src/seed_runs.rs
+++ b/crates/simulation/src/seed_runs.rs
@@ -11,25 +11,25 @@
 
 use crate::error::CliError;
 
-/// What to run.
+/// A series of runs, one per seed.
 pub struct SeedRuns {
     /// The seeds.
     pub seeds: Range<u64>,
-    /// How many run at once.
+    /// The number of runs at once.
     pub jobs: usize,
-    /// The scenario of a seed.
+    /// Returns the scenario of a seed.
     pub generate: fn(u64) -> Scenario,
-    /// The mutant in every run.
+    /// The mutant that every run has, if any.
     pub mutant: Option<Mutant>,
 }
 
 impl SeedRuns {
-    /// The reports by seed. With a mutant it stops once the mutant is found; every seed below the one that found it is
-    /// still run, so that the first finding does not depend on the number of jobs.
+    /// Runs the seeds and returns their reports. With a mutant it stops once a run has found the mutant. All
+    /// lower seeds are still run to their end, so the first finding does not depend on the number of jobs.
     ///
     /// # Errors
     ///
-    /// Fails where a run panics.
+    /// Fails if a run panics.
     pub fn run(&self) -> Result<BTreeMap<u64, RunReport>, CliError> {
         let next_seed = AtomicU64::new(self.seeds.start);
         let is_found = AtomicBool::new(false);
@@ -55,7 +55,8 @@
         reports.into_inner().map_err(|_| CliError::WorkerPanicked)
     }
 
-    /// Whether a rule is broken. With a mutant, only its own rules count: it may break others on its way.
+    /// Returns whether the run broke a rule. With a mutant, only the rules of the mutant count, because it
+    /// may break others as a side effect.
     pub fn is_finding(&self, report: &RunReport) -> bool {
         let Some(violation) = &report.violation else { return false };
         self.mutant.is_none_or(|mutant| mutant.rules().contains(&violation.rule))
--- a/crates/simulation/src/shrink.rs
+++ b/crates/simulation/src/shrink.rs
@@ -1,5 +1,6 @@
-//! Makes a scenario that breaks a rule smaller while it still breaks the same one: fewer faults, requests, clients,
-//! endpoints and balancers, shorter and rounder times. Only a change that was run is kept.
+//! Shrinks a scenario that breaks a rule to a smaller one that breaks the same rule: fewer faults, requests,
+//! clients, endpoints and balancers, and shorter and rounder times. Each change is run, and kept only if the
+//! rule is still broken.
 
 use crate::mutants::Mutant;
 use crate::rule::Rule;
@@ -7,7 +8,7 @@
 use crate::scenario::{Scenario, Trigger};
 use crate::time::{MS, SECOND};
 
-/// Scenarios that are run at the most.
+/// The maximum number of scenarios that one shrink runs.
 const MAX_TRIES: usize = 400;
 
 struct Shrinker {
@@ -18,7 +19,8 @@
 }
 
 impl Shrinker {
-    /// Keeps a change if the rule is still broken.
+    /// Runs the scenario with a change, and keeps the change if the rule is still broken. Returns whether it
+    /// was kept.
     fn try_change(&mut self, change: impl FnOnce(&mut Scenario)) -> bool {
         let mut scenario = self.best.clone();
         change(&mut scenario);
@@ -34,7 +36,7 @@
         is_broken
     }
 
-    /// Tries every change once; whether any was kept.
+    /// Tries every change once. Returns whether any was kept.
     fn run_round(&mut self) -> bool {
         let before = self.best.clone();
         self.remove_faults();
@@ -44,7 +46,7 @@
         self.best != before
     }
 
-    /// Halves of the faults, quarters, and so on to single ones.
+    /// Removes groups of faults: first halves, then quarters, and so on down to single faults.
     fn remove_faults(&mut self) {
         let mut count = self.best.faults.len().div_ceil(2);
         while count > 0 {
@@ -59,7 +61,7 @@
         }
     }
 
-    /// The end of the load, then its beginning.
+    /// Removes requests from the end of the load, and then from its beginning.
     fn shorten_load(&mut self) {
         for part in [0.25, 0.5, 0.75, 0.9] {
             self.try_change(|scenario| {
@@ -85,7 +87,7 @@
         self.try_change(|scenario| scenario.socket_limit = 256);
     }
 
-    /// Shorter and rounder times, and the first event in place of a later one.
+    /// Shortens and rounds the times of the faults, and replaces a later triggering event by the first.
     fn simplify_faults(&mut self) {
         for index in 0..self.best.faults.len() {
             self.try_change(|scenario| scenario.faults[index].duration /= 2);
@@ -107,7 +109,7 @@
     }
 }
 
-/// The smallest scenario that was found, and how many were run.
+/// Returns the smallest scenario found that breaks the rule, and the number of scenarios that were run.
 pub fn shrink(scenario: &Scenario, rule: Rule, mutant: Option<Mutant>) -> (Scenario, usize) {
     let mut shrinker = Shrinker { best: scenario.clone(), rule, mutant, tries: 0 };
     while shrinker.run_round() && shrinker.tries < MAX_TRIES {}
