--- a/crates/simulation/src/checker.rs
+++ b/crates/simulation/src/checker.rs
@@ -1,5 +1,7 @@
-//! The rules, checked from outside: what clients sent and received, what endpoints received and executed, and what
-//! discovery had told whom. Each record is checked as it is made; no balancer is asked.
+//! Checks the rules of the service from outside the balancers.
+//!
+//! The checker records what clients send and receive, what endpoints receive and execute, and what discovery
+//! tells each balancer. It checks every record when it is made and never reads a balancer's internal state.
 
 mod attempts;
 mod request;
@@ -22,88 +24,90 @@
 use crate::trace::EventKind;
 use request::RequestRecord;
 
-/// A drain notice and a retry so near to each other are one of the hard cases.
+/// The longest time between a drain notice and a retry that counts as the hard case.
 const DRAIN_AT_RETRY_WINDOW: Micros = 5 * MS;
 
 /// A rule that a run broke.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// The rule.
+    /// The broken rule.
     pub rule: Rule,
-    /// When.
+    /// The time of the violation.
     pub at: Micros,
-    /// By what, for readers.
+    /// A description of what broke the rule.
     pub text: String,
 }
 
-/// An endpoint as a balancer knows it: the balancer's index, and the name in the endpoint list.
+/// An endpoint as one balancer knows it: the balancer's index and the endpoint's name in the endpoint list.
 type KnownServer = (usize, String);
 
-/// The last start of an endpoint that a balancer knows of.
+/// The latest start of an endpoint that a balancer has been told of.
 #[derive(Clone, Copy)]
 struct KnownStart {
     started_at: Micros,
-    /// When the balancer was first told of it.
+    /// The time at which the balancer was first told of this start.
     told_at: Micros,
 }
 
-/// What happened in a run, as far as the rules need it.
+/// The part of a run's history that the rules need.
 #[derive(Default)]
 pub struct Records {
     requests: BTreeMap<u64, RequestRecord>,
-    /// Each start of each endpoint.
+    /// All starts of all endpoints.
     pub server_starts: Vec<ServerStart>,
-    /// When a balancer's process was told that an endpoint drains or is removed.
+    /// The time at which a balancer's process was told that an endpoint drains or is removed.
     drain_notices: BTreeMap<KnownServer, Micros>,
-    /// Since when a balancer has confirmed a manual ejection, which outlives its processes.
+    /// The time at which a balancer confirmed a manual ejection. The ejection outlives the balancer's
+    /// processes.
     manual_ejections: BTreeMap<KnownServer, Micros>,
     known_starts: BTreeMap<KnownServer, KnownStart>,
-    /// The first rule that was broken.
+    /// The first violation.
     pub violation: Option<Violation>,
-    /// Results of attempts, as balancers name them.
+    /// Counts of attempt results, by the balancers' names for them.
     pub attempt_results: Counters,
-    /// Hard cases that were met.
+    /// Counts of the hard cases that occurred.
     pub hard_cases: Counters,
-    /// What clients and endpoints saw.
+    /// Counts of what clients and endpoints observed.
     pub outcomes: Counters,
     last_retry_at: Option<Micros>,
     last_drain_notice_at: Option<Micros>,
 }
 
-/// The records of a run, for all that make them.
+/// The records of a run, shared by all clients, endpoints and hooks that write them.
 #[derive(Default)]
 pub struct SharedRecords(Mutex<Records>);
 
 impl SharedRecords {
-    /// The records. The lock is not re-entrant: no stream may be dropped while it is held.
+    /// Locks the records. The lock is not re-entrant: no stream may be dropped while it is held.
     ///
     /// # Panics
     ///
-    /// Panics after a panic of another holder.
+    /// Panics if another holder of the lock panicked.
     pub fn lock(&self) -> MutexGuard<'_, Records> {
         self.0.lock().expect("no panic while the records are locked")
     }
 
-    /// Whether a rule is broken.
+    /// Returns whether a rule has been broken.
     pub fn has_violation(&self) -> bool {
         self.lock().violation.is_some()
     }
 }
 
 impl Records {
-    /// A rule was broken. The numbers say by what, as the text does; only the first violation is kept.
+    /// Records an event for a broken rule, and keeps the violation if it is the first. The numbers carry the
+    /// same details as the text.
     pub fn report_violation(&mut self, kernel: &mut Kernel, rule: Rule, numbers: &[u64], text: String) {
         let numbers = [&[rule as u64], numbers].concat();
         kernel.record_event(EventKind::RuleBroken, &numbers, format_args!("VIOLATION {rule}: {text}"));
         self.violation.get_or_insert(Violation { rule, at: kernel.now, text });
     }
 
-    /// A hard case was met.
+    /// Counts an occurrence of a hard case.
     pub fn record_hard_case(&mut self, case: HardCase) {
         self.hard_cases.increment(case.name());
     }
 
-    /// A balancer has confirmed a manual ejection, or the end of one.
+    /// Records that a balancer confirmed a manual ejection, or the end of one.
     pub fn record_manual_ejection(&mut self, now: Micros, balancer: usize, server: &str, is_ejected: bool) {
         let key = (balancer, server.to_string());
         if is_ejected {
@@ -113,20 +117,20 @@
         }
     }
 
-    /// An endpoint that is ejected manually at this balancer, and since when.
+    /// Returns an endpoint that is manually ejected at this balancer, and the time of the ejection.
     pub fn manually_ejected_server(&self, balancer: usize) -> Option<(String, Micros)> {
         let ejection = self.manual_ejections.iter().find(|((other, _), _)| *other == balancer);
         ejection.map(|((_, server), since)| (server.clone(), *since))
     }
 
-    /// Discovery has told a balancer that an endpoint drains or is removed.
+    /// Records that discovery told a balancer that an endpoint drains or is removed.
     pub fn record_drain_notice(&mut self, now: Micros, balancer: usize, server: &str) {
         self.drain_notices.entry((balancer, server.to_string())).or_insert(now);
         self.last_drain_notice_at = Some(now);
-        self.count_drain_at_retry();
+        self.detect_drain_at_retry();
     }
 
-    /// Discovery has told a balancer that an endpoint is ready, and when it started.
+    /// Records that discovery told a balancer that an endpoint is ready, and when that endpoint started.
     pub fn record_ready_notice(&mut self, now: Micros, balancer: usize, server: &str, started_at: Micros) {
         let key = (balancer, server.to_string());
         self.drain_notices.remove(&key);
@@ -137,7 +141,8 @@
         }
     }
 
-    /// A balancer has received a complete snapshot: what it leaves out is removed.
+    /// Records that a balancer received a complete snapshot, which removes every endpoint that it does not
+    /// list.
     pub fn record_snapshot(&mut self, now: Micros, balancer: usize, listed: &[String]) {
         let missing: Vec<KnownServer> = self
             .known_starts
@@ -150,13 +155,13 @@
         }
     }
 
-    /// A balancer's process ended, and with it all that it had been told.
+    /// Drops all that discovery told a balancer, because its process ended.
     pub fn forget_balancer(&mut self, balancer: usize) {
         self.drain_notices.retain(|(other, _), _| *other != balancer);
         self.known_starts.retain(|(other, _), _| *other != balancer);
     }
 
-    fn count_drain_at_retry(&mut self) {
+    fn detect_drain_at_retry(&mut self) {
         if let (Some(retry), Some(drain)) = (self.last_retry_at, self.last_drain_notice_at)
             && retry.abs_diff(drain) <= DRAIN_AT_RETRY_WINDOW
         {
--- a/crates/simulation/src/checker/attempts.rs
+++ b/crates/simulation/src/checker/attempts.rs
@@ -1,4 +1,4 @@
-//! What an attempt is checked against when an endpoint has received it, and when it is executed.
+//! Checks attempts when an endpoint has received them and when it executes them.
 
 use super::Records;
 use super::request::{Attempt, Idempotency, RequestRecord, RequestStatus};
@@ -9,23 +9,23 @@
 use crate::time::Micros;
 use crate::trace::EventKind;
 
-/// An attempt that an endpoint has received whole.
+/// An attempt that an endpoint has received completely.
 pub struct AttemptArrival<'a> {
-    /// Number of the request.
+    /// The request's number.
     pub request_id: u64,
     /// The request line.
     pub start_line: &'a str,
     /// The bytes after the head.
     pub body: &'a [u8],
-    /// Index of the endpoint's start.
+    /// The index of the endpoint's start.
     pub start: usize,
-    /// Index of the endpoint.
+    /// The index of the endpoint.
     pub server: usize,
-    /// The scope of deduplication that the endpoint is in.
+    /// The deduplication scope that the endpoint belongs to.
     pub dedup_group: u32,
-    /// Index of the balancer that sent it.
+    /// The index of the balancer that sent it.
     pub balancer: usize,
-    /// When its first byte was sent, from which on it is judged.
+    /// The time at which its first byte was sent. The rules apply to this time.
     pub sent_at: Micros,
 }
 
@@ -35,33 +35,33 @@
     }
 }
 
-/// What an endpoint needs to know of an attempt that it has received.
+/// The facts that an endpoint needs about an attempt that it has received.
 pub struct ReceivedAttempt {
-    /// Which attempt of the request it is, from 0 on.
+    /// The attempt's index among the attempts of its request, from 0.
     pub attempt_index: usize,
-    /// Whether another came before.
+    /// Whether an endpoint received an earlier attempt of the request.
     pub is_retry: bool,
-    /// Whether the request must run once at the most.
+    /// Whether the request may be executed at most once.
     pub is_non_idempotent: bool,
-    /// Seconds on a core of usual speed.
+    /// The work in seconds on a core of normal speed.
     pub work: f64,
 }
 
-/// What the rules for attempts read.
+/// The input of the rules for attempts.
 struct AttemptContext<'a> {
     arrival: &'a AttemptArrival<'a>,
     request: &'a RequestRecord,
     server_name: &'a str,
-    /// When the balancer was told that the endpoint drains or is removed.
+    /// The time at which the balancer was told that the endpoint drains or is removed.
     draining_since: Option<Micros>,
-    /// When the balancer confirmed that the endpoint is ejected manually.
+    /// The time at which the balancer confirmed the manual ejection of the endpoint.
     ejected_since: Option<Micros>,
 }
 
-/// Says what is wrong, if the rule is broken.
+/// Returns a description of the violation if the rule is broken.
 type AttemptRule = fn(&AttemptContext) -> Option<String>;
 
-/// Where several are broken, the last one is reported.
+/// The rules for attempts. If an attempt breaks several, the last of them in this order is reported.
 const ATTEMPT_RULES: [(Rule, AttemptRule); 9] = [
     (Rule::AttemptAfterAnswer, attempt_after_answer),
     (Rule::AttemptAfterDisconnect, attempt_after_disconnect),
@@ -69,8 +69,8 @@
     (Rule::TooManyAttempts, too_many_attempts),
     (Rule::Repeated, repeated),
     (Rule::RejectedAfterExecution, attempt_of_rejected_request),
-    (Rule::Draining, attempt_at_draining_server),
-    (Rule::Detached, attempt_at_ejected_server),
+    (Rule::AttemptAfterDrain, attempt_at_draining_server),
+    (Rule::ManuallyEjected, attempt_at_ejected_server),
     (Rule::StreamedTwice, streamed_twice),
 ];
 
@@ -80,19 +80,20 @@
     let is_broken = sent_at > answered_at + MAX_DECISION_TO_WRITE;
     is_broken.then(|| {
         let delay = sent_at - answered_at;
-        format!("request {request_id:x} went to {} {delay} us after its answer", context.server_name)
+        format!("request {request_id:x} went to {} {delay} us after its response", context.server_name)
     })
 }
 
 fn attempt_after_disconnect(context: &AttemptContext) -> Option<String> {
     let gone_at = context.request.client_gone_at?;
     let AttemptArrival { request_id, sent_at, .. } = *context.arrival;
-    // Behind a body that nobody has read yet no balancer sees that its client has gone.
+    // A balancer notices a closed connection only after it has read the whole request. It streams a longer
+    // body and may not have read it to the end.
     let is_broken =
         sent_at > gone_at + 2 * NETWORK_TOLERANCE && context.arrival.body.len() <= MAX_BUFFERED_BODY_BYTES;
     is_broken.then(|| {
         let delay = sent_at - gone_at;
-        format!("request {request_id:x} went to {} {delay} us after its client", context.server_name)
+        format!("request {request_id:x} went to {} {delay} us after its client left", context.server_name)
     })
 }
 
@@ -111,15 +112,16 @@
 fn repeated(context: &AttemptContext) -> Option<String> {
     let request_id = context.arrival.request_id;
     let idempotency = context.request.request.idempotency;
-    let is_broken = context.request.attempts.iter().any(|other| !may_follow(context, other));
+    let is_broken = context.request.attempts.iter().any(|other| !may_coexist(context, other));
     is_broken.then(|| {
         let server = context.server_name;
         format!("request {request_id:x} ({idempotency}) went to {server} though it may have run elsewhere")
     })
 }
 
-/// Whether the attempt is allowed beside another one, which may have been sent before or after it.
-fn may_follow(context: &AttemptContext, other: &Attempt) -> bool {
+/// Returns whether the rules allow the attempt in addition to another, which may have been sent before or
+/// after it.
+fn may_coexist(context: &AttemptContext, other: &Attempt) -> bool {
     let sent_at = context.arrival.sent_at;
     let is_proved_unexecuted = other.declined_at.is_some_and(|at| other.sent_at <= sent_at && at <= sent_at);
     let may_repeat = match context.request.request.idempotency {
@@ -139,7 +141,8 @@
     let is_broken = response.status == RequestStatus::Rejected
         && sent_at <= response.sent_at
         && !context.request.request.idempotency.may_be_rejected_after_execution();
-    is_broken.then(|| format!("request {request_id:x} was rejected and then reached {}", context.server_name))
+    is_broken
+        .then(|| format!("request {request_id:x} was rejected after it was sent to {}", context.server_name))
 }
 
 fn attempt_at_draining_server(context: &AttemptContext) -> Option<String> {
@@ -162,18 +165,18 @@
     })
 }
 
-/// A streamed body can be sent once only, so no two attempts of it arrive whole.
+/// Reports a second complete attempt with a streamed body, which a balancer can send only once.
 fn streamed_twice(context: &AttemptContext) -> Option<String> {
     let AttemptArrival { request_id, body, .. } = *context.arrival;
     let is_broken = body.len() > MAX_BUFFERED_BODY_BYTES && !context.request.attempts.is_empty();
     is_broken.then(|| {
-        format!("request {request_id:x} with its streamed body came to {} as well", context.server_name)
+        format!("request {request_id:x} with a streamed body was also sent to {}", context.server_name)
     })
 }
 
 impl Records {
-    /// An endpoint has received an attempt whole. None where it is of no request, or has other bytes than the client
-    /// sent.
+    /// Records and checks an attempt that an endpoint has received completely. Returns `None` if no client
+    /// sent the request or if its bytes differ from those that the client sent.
     pub fn record_attempt(
         &mut self,
         kernel: &mut Kernel,
@@ -185,7 +188,7 @@
         let line =
             format_args!("{server_name} received request {request_id:x} sent by b{balancer} at {sent_at}");
         kernel.record_event(EventKind::RequestReceived, &numbers, line);
-        if let Some((rule, text)) = self.find_unknown_bytes(arrival, &server_name) {
+        if let Some((rule, text)) = self.check_integrity(arrival, &server_name) {
             self.report_violation(kernel, rule, &numbers, text);
             return None;
         }
@@ -199,7 +202,7 @@
         self.check_slow_start(kernel, start, balancer, work, sent_at);
         if is_retry {
             self.last_retry_at = Some(sent_at);
-            self.count_drain_at_retry();
+            self.detect_drain_at_retry();
         }
         let record = self.requests.get_mut(&request_id)?;
         let attempt_index = record.attempts.len();
@@ -213,7 +216,7 @@
         Some(ReceivedAttempt { attempt_index, is_retry, is_non_idempotent, work })
     }
 
-    fn find_unknown_bytes(&self, arrival: &AttemptArrival, server_name: &str) -> Option<(Rule, String)> {
+    fn check_integrity(&self, arrival: &AttemptArrival, server_name: &str) -> Option<(Rule, String)> {
         let AttemptArrival { request_id, start_line, body, .. } = *arrival;
         let Some(record) = self.requests.get(&request_id) else {
             let text = format!("{server_name} received request {request_id:x}, which no client sent");
@@ -222,7 +225,7 @@
         let is_altered = record.request.start_line != start_line || record.request.body != body;
         is_altered.then(|| {
             let text =
-                format!("{server_name} received request {request_id:x} with other bytes: {start_line}");
+                format!("{server_name} received request {request_id:x} with changed bytes: {start_line}");
             (Rule::AlteredRequest, text)
         })
     }
@@ -239,7 +242,7 @@
         ATTEMPT_RULES.iter().rev().find_map(|(rule, check)| Some((*rule, check(&context)?)))
     }
 
-    /// An endpoint proves that it does not execute an attempt.
+    /// Records that an endpoint declined an attempt, which proves that it does not execute it.
     pub fn record_declined(&mut self, now: Micros, request_id: u64, attempt_index: usize) {
         let record = self.requests.get_mut(&request_id);
         if let Some(attempt) = record.and_then(|record| record.attempts.get_mut(attempt_index)) {
@@ -247,12 +250,12 @@
         }
     }
 
-    /// The effect of an attempt happens.
+    /// Records that an endpoint executes an attempt.
     pub fn record_executed(&mut self, kernel: &mut Kernel, request_id: u64, attempt_index: usize) {
         let attempts = self.requests.get(&request_id).map(|record| &record.attempts);
         let server = attempts.and_then(|attempts| attempts.get(attempt_index)).map(|attempt| attempt.server);
         let numbers = [request_id, attempt_index as u64, server.map_or(u64::MAX, |server| server as u64)];
-        let line = format_args!("request {request_id:x} runs, attempt {attempt_index}");
+        let line = format_args!("request {request_id:x} is executed, attempt {attempt_index}");
         kernel.record_event(EventKind::RequestExecuted, &numbers, line);
         let Some(record) = self.requests.get_mut(&request_id) else { return };
         if let Some(attempt) = record.attempts.get_mut(attempt_index) {
@@ -271,7 +274,7 @@
             let servers: Vec<usize> = executed.iter().map(|attempt| attempt.server).collect();
             let mut numbers = vec![request_id];
             numbers.extend(servers.iter().map(|server| *server as u64));
-            let text = format!("request {request_id:x} ran at servers {servers:?}");
+            let text = format!("request {request_id:x} was executed by servers {servers:?}");
             self.report_violation(kernel, Rule::ExecutedTwice, &numbers, text);
         }
     }
--- a/crates/simulation/src/checker/request.rs
+++ b/crates/simulation/src/checker/request.rs
@@ -1,27 +1,28 @@
-//! What is known of one request.
+//! The checker's record of one request.
 
 use std::fmt::{self, Display};
 
 use crate::time::Micros;
 
-/// How a class's requests may be repeated.
+/// The rule by which requests of a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// At will.
+    /// May be repeated without limit.
     Idempotent,
-    /// Within the window, among endpoints of one scope.
+    /// May be repeated within the window, among endpoints of one deduplication scope.
     Deduplicated {
-        /// How long endpoints remember a request.
+        /// The time for which endpoints remember a request.
         window: Micros,
-        /// One scope is the whole fleet.
+        /// Whether the whole fleet is one deduplication scope.
         is_fleet_wide: bool,
     },
-    /// Never, once it may have run.
+    /// Must not be repeated once it may have been executed.
     NonIdempotent,
 }
 
 impl Idempotency {
-    /// Whether a rejection, which invites to repeat the request, may follow an execution.
+    /// Returns whether the request may be rejected after it was executed. A rejection tells the client to
+    /// repeat it.
     pub(super) fn may_be_rejected_after_execution(self) -> bool {
         matches!(self, Idempotency::Idempotent | Idempotency::Deduplicated { is_fleet_wide: true, .. })
     }
@@ -39,32 +40,32 @@
 
 /// A request as its client sends it.
 pub struct ClientRequest {
-    /// How it may be repeated.
+    /// The rule by which it may be repeated.
     pub idempotency: Idempotency,
     /// The request line.
     pub start_line: String,
     /// The bytes after the head.
     pub body: Vec<u8>,
-    /// Seconds on a core of usual speed.
+    /// The work in seconds on a core of normal speed.
     pub work: f64,
 }
 
-/// What a client was answered.
+/// The meaning of a response to the client.
 #[derive(Clone, Copy, PartialEq)]
 pub enum RequestStatus {
-    /// With 200.
+    /// Status 200.
     Succeeded,
-    /// With 429 or 503: it may be sent again.
+    /// Status 429 or 503: the client may send the request again.
     Rejected,
-    /// It is unknown whether it ran.
+    /// Any other status: the request may or may not have been executed.
     Failed,
-    /// With another 4xx.
+    /// Any 4xx status but 429.
     Refused,
 }
 
 impl RequestStatus {
-    /// What a status code means.
-    pub fn of(status: u16) -> RequestStatus {
+    /// Returns the meaning of a status code.
+    pub fn from_code(status: u16) -> RequestStatus {
         match status {
             200 => RequestStatus::Succeeded,
             429 | 503 => RequestStatus::Rejected,
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The name by which it is counted and printed.
+    /// Returns the name under which it is counted and printed.
     pub fn name(self) -> &'static str {
         match self {
             RequestStatus::Succeeded => "Acked",
@@ -84,28 +85,28 @@
     }
 }
 
-/// The first answer to a request.
+/// The first response to a request.
 #[derive(Clone, Copy)]
 pub(super) struct FinalResponse {
     pub status: RequestStatus,
     pub sent_at: Micros,
 }
 
-/// An attempt that an endpoint has received whole.
+/// An attempt that an endpoint has received completely.
 pub(super) struct Attempt {
     pub server: usize,
     pub dedup_group: u32,
-    /// When its first byte was sent.
+    /// The time at which its first byte was sent.
     pub sent_at: Micros,
-    /// When the endpoint proved that it does not execute it.
+    /// The time at which the endpoint declined it, and so proved that it does not execute it.
     pub declined_at: Option<Micros>,
     pub executed_at: Option<Micros>,
 }
 
-/// A request and what became of it.
+/// A request with its attempts and its response.
 pub(super) struct RequestRecord {
     pub request: ClientRequest,
-    /// From the last byte on.
+    /// Set when the client has written the last byte.
     pub deadline: Option<Micros>,
     pub attempts: Vec<Attempt>,
     pub final_response: Option<FinalResponse>,
--- a/crates/simulation/src/cluster/faults.rs
+++ b/crates/simulation/src/cluster/faults.rs
@@ -44,33 +44,35 @@
 impl Cluster {
     fn apply_fault(self: &Arc<Cluster>, fault: Fault) {
         match fault.kind {
-            FaultKind::Kill | FaultKind::Vanish => self.kill_server(fault),
-            FaultKind::Replace => self.replace_server(fault),
-            FaultKind::Slow => self.slow_server(fault),
-            FaultKind::Fail
-            | FaultKind::Hang
-            | FaultKind::Full
-            | FaultKind::Spoil
-            | FaultKind::Rude
-            | FaultKind::Brink
-            | FaultKind::Few => self.misbehave(fault),
-            FaultKind::Deaf => self.ignore_connections(fault),
-            FaultKind::Late => self.delay_accepts(fault),
-            FaultKind::Drain => self.drain_server(fault),
+            FaultKind::KillServer | FaultKind::PowerOffServer => self.kill_server(fault),
+            FaultKind::ReplaceServer => self.replace_server(fault),
+            FaultKind::SlowServer => self.slow_server(fault),
+            FaultKind::FailRequests
+            | FaultKind::HangRequests
+            | FaultKind::DeclineRequests
+            | FaultKind::MalformedResponses
+            | FaultKind::UnannouncedClose
+            | FaultKind::RespondAtDeadline
+            | FaultKind::LimitConnections => self.misbehave(fault),
+            FaultKind::IgnoreConnections => self.ignore_connections(fault),
+            FaultKind::DelayAccepts => self.delay_accepts(fault),
+            FaultKind::DrainServer => self.drain_server(fault),
             FaultKind::LoseZone => self.lose_zone(fault),
-            FaultKind::AllCold => self.restart_all_servers(),
-            FaultKind::PutOut => self.eject_manually(fault),
-            FaultKind::ListDown => self.stop_discovery(fault),
-            FaultKind::ListMute | FaultKind::ListNonsense => self.disturb_discovery(fault),
-            FaultKind::ListLate => self.delay_discovery(fault),
-            FaultKind::ListJump => self.restart_versions(),
-            FaultKind::Cut | FaultKind::OneWay | FaultKind::CutList => self.cut_paths(fault),
+            FaultKind::RestartAllServers => self.restart_all_servers(),
+            FaultKind::EjectManually => self.eject_manually(fault),
+            FaultKind::DiscoveryDown => self.stop_discovery(fault),
+            FaultKind::DiscoverySilent | FaultKind::DiscoveryNonsense => self.disturb_discovery(fault),
+            FaultKind::DiscoveryDelay => self.delay_discovery(fault),
+            FaultKind::DiscoveryVersionJump => self.restart_versions(),
+            FaultKind::Partition | FaultKind::OneWayPartition | FaultKind::DiscoveryPartition => {
+                self.cut_paths(fault)
+            }
             FaultKind::KillBalancer => self.kill_balancer_for(fault),
-            FaultKind::EndBalancer => self.end_balancer(fault),
-            FaultKind::Reload => self.move_discovery(fault),
-            FaultKind::Stutter => self.starve_balancer(fault),
-            FaultKind::Storm => self.send_storm(fault),
-            FaultKind::SlowNet => self.slow_network(fault),
+            FaultKind::ShutDownBalancer => self.end_balancer(fault),
+            FaultKind::MoveDiscovery => self.move_discovery(fault),
+            FaultKind::StarveBalancer => self.starve_balancer(fault),
+            FaultKind::RequestStorm => self.send_storm(fault),
+            FaultKind::SlowNetwork => self.slow_network(fault),
         }
     }
 
@@ -111,16 +113,16 @@
             overlapping.iter().any(|applied| applied.kind == other && now - applied.start <= TOGETHER)
         };
         let is_outage_with_zone_loss = match kind {
-            FaultKind::ListDown => began_with(FaultKind::LoseZone),
-            FaultKind::LoseZone => began_with(FaultKind::ListDown),
+            FaultKind::DiscoveryDown => began_with(FaultKind::LoseZone),
+            FaultKind::LoseZone => began_with(FaultKind::DiscoveryDown),
             _ => false,
         };
-        let is_in_storm = overlapping.iter().any(|applied| applied.kind == FaultKind::Storm);
+        let is_in_storm = overlapping.iter().any(|applied| applied.kind == FaultKind::RequestStorm);
         let mut records = self.context.records.lock();
         if is_outage_with_zone_loss {
             records.record_hard_case(HardCase::DiscoveryOutageWithZoneLoss);
         }
-        if kind == FaultKind::EndBalancer && is_in_storm {
+        if kind == FaultKind::ShutDownBalancer && is_in_storm {
             records.record_hard_case(HardCase::ShutdownDuringStorm);
         }
     }
--- a/crates/simulation/src/cluster/faults/network_faults.rs
+++ b/crates/simulation/src/cluster/faults/network_faults.rs
@@ -37,11 +37,11 @@
         let state = self.context.state();
         let balancer = state.balancers[self.target_balancer(fault)].host;
         match fault.kind {
-            FaultKind::Cut => {
+            FaultKind::Partition => {
                 let server = fault.second_target as usize % state.servers.len();
                 Path::both_ways(balancer, state.servers[server].host)
             }
-            FaultKind::OneWay => {
+            FaultKind::OneWayPartition => {
                 let server = state.servers[self.target_server(fault)].host;
                 let balancer = fault.second_target as usize % state.balancers.len();
                 vec![Path { from: server, to: state.balancers[balancer].host }]
--- a/crates/simulation/src/cluster/faults/server_faults.rs
+++ b/crates/simulation/src/cluster/faults/server_faults.rs
@@ -16,11 +16,11 @@
 
 impl Cluster {
     pub(super) fn kill_server(self: &Arc<Cluster>, fault: Fault) {
-        if matches!(fault.trigger, Trigger::On(TriggerEvent::Sent, _)) {
+        if matches!(fault.trigger, Trigger::On(TriggerEvent::AttemptReceived, _)) {
             self.context.records.lock().record_hard_case(HardCase::ServerDiesBeforeAnswer);
         }
         let server = self.target_server(&fault);
-        if fault.kind == FaultKind::Vanish {
+        if fault.kind == FaultKind::PowerOffServer {
             self.power_off_server(server);
         } else {
             self.stop_server(server);
--- a/crates/simulation/src/commands.rs
+++ b/crates/simulation/src/commands.rs
@@ -1,4 +1,4 @@
-//! The commands of the program. What they print does not depend on the order in which runs end.
+//! The commands of the program. Their output does not depend on the order in which runs end.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -19,21 +19,21 @@
 use crate::error::CliError;
 use crate::seed_runs::SeedRuns;
 
-/// The name of a mutant that lists them all.
+/// The value of `--plant` that lists all mutants.
 const LIST_MUTANTS: &str = "list";
-/// Findings that are printed.
+/// The maximum number of findings that are printed.
 const MAX_PRINTED_FINDINGS: usize = 10;
 
-/// Whether any run broke a rule.
+/// The result of a command: whether any run broke a rule.
 pub enum Verdict {
-    /// None did.
+    /// No run broke a rule.
     NoRuleBroken,
-    /// One did.
+    /// At least one run broke a rule.
     RuleBroken,
 }
 
 impl Verdict {
-    fn of(is_broken: bool) -> Verdict {
+    fn from_violation(is_broken: bool) -> Verdict {
         if is_broken { Verdict::RuleBroken } else { Verdict::NoRuleBroken }
     }
 }
@@ -44,7 +44,7 @@
     violation: &'a Violation,
 }
 
-/// Runs a range of seeds, prints what they met and broke, and shrinks the first finding.
+/// Runs a range of seeds, prints their coverage and violations, and shrinks the first finding.
 pub fn run(arguments: &RunArguments) -> Result<Verdict, CliError> {
     if arguments.mutant.as_deref() == Some(LIST_MUTANTS) {
         Mutant::ALL.iter().for_each(|mutant| println!("{}", mutant.name()));
@@ -58,14 +58,14 @@
         write_sums(path, &reports, |report| report.events)?;
     }
     if let Some(path) = &arguments.trace_sums {
-        write_sums(path, &reports, |report| report.line_count)?;
+        write_sums(path, &reports, |report| report.lines)?;
     }
     let findings = find_violations(&runs, &reports);
     print_reports(&runs, &reports, &findings, elapsed_secs);
     if let Some(first) = findings.first() {
         shrink_finding(&runs, first);
     }
-    Ok(Verdict::of(!findings.is_empty()))
+    Ok(Verdict::from_violation(!findings.is_empty()))
 }
 
 fn seed_runs(arguments: &RunArguments) -> Result<SeedRuns, CliError> {
@@ -95,7 +95,7 @@
     print_coverage(&coverage);
     let virtual_secs: f64 = reports.values().map(|report| as_secs(report.duration)).sum();
     println!(
-        "{:.0} seeds a second, {:.0} virtual seconds a second, {} at once",
+        "{:.0} seeds per second, {:.0} virtual seconds per second, {} jobs",
         reports.len() as f64 / elapsed_secs,
         virtual_secs / elapsed_secs,
         runs.jobs
@@ -115,7 +115,7 @@
     let rule = finding.violation.rule;
     let (small, tries) = shrink::shrink(&(runs.generate)(finding.seed), rule, runs.mutant);
     let fault_count = small.faults.len();
-    println!("\n# seed {}, {rule}: {fault_count} lines of faults after {tries} tries", finding.seed);
+    println!("\n# seed {}, {rule}: {fault_count} faults after {tries} tries", finding.seed);
     print!("{small}");
 }
 
@@ -128,22 +128,22 @@
     write_file(path, &lines.collect::<String>())
 }
 
-/// Runs one scenario and prints it, with its trace if that is wanted.
+/// Runs one scenario and prints it with its result, preceded by its trace if `--trace` is given.
 pub fn replay(arguments: &ReplayArguments) -> Result<Verdict, CliError> {
     let scenario = load_scenario(arguments.seed, arguments.scenario.as_deref())?;
     let mutant = parse_mutant(arguments.mutant.as_deref())?;
     let report = run_scenario(&scenario, mutant, arguments.trace);
     print!("{}{scenario}", report.trace);
     println!(
-        "events {:08x}, {} of them; trace {:08x}, {} lines; {:.3} virtual seconds",
+        "event checksum {:08x}, {} events; trace checksum {:08x}, {} lines; {:.3} virtual seconds",
         report.events.sum,
         report.events.count,
-        report.line_count.sum,
-        report.line_count.count,
+        report.lines.sum,
+        report.lines.count,
         as_secs(report.duration)
     );
     for (name, count) in &report.coverage.hard_cases.0 {
-        println!("met {count} times: {name}");
+        println!("occurred {count} times: {name}");
     }
     match &report.violation {
         Some(violation) => {
@@ -151,10 +151,10 @@
         }
         None => println!("no rule broken"),
     }
-    Ok(Verdict::of(report.violation.is_some()))
+    Ok(Verdict::from_violation(report.violation.is_some()))
 }
 
-/// Writes the smallest scenario that still breaks the rule that the given one does.
+/// Writes the smallest scenario found that breaks the same rule as the given one.
 pub fn shrink(arguments: &ShrinkArguments) -> Result<Verdict, CliError> {
     let mutant = parse_mutant(arguments.mutant.as_deref())?;
     let scenario = load_scenario(arguments.seed, arguments.scenario.as_deref())?;
--- a/crates/simulation/src/discovery_service.rs
+++ b/crates/simulation/src/discovery_service.rs
@@ -70,10 +70,10 @@
         }
         let delay = context.state().discovery_delay;
         stream.runtime.sleep_micros(delay).await;
-        while context.has_discovery_fault(FaultKind::ListMute) {
+        while context.has_discovery_fault(FaultKind::DiscoverySilent) {
             stream.runtime.sleep_micros(50 * MS).await;
         }
-        if context.has_discovery_fault(FaultKind::ListNonsense) {
+        if context.has_discovery_fault(FaultKind::DiscoveryNonsense) {
             write_malformed_response(stream).await?;
             return Ok(());
         }
@@ -93,7 +93,7 @@
     let until = stream.runtime.simulation.now() + wait;
     loop {
         let changed = context.endpoints_changed.notified();
-        if context.has_discovery_fault(FaultKind::ListDown) {
+        if context.has_discovery_fault(FaultKind::DiscoveryDown) {
             return false;
         }
         if context.state().version != after {
--- a/crates/simulation/src/error.rs
+++ b/crates/simulation/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command of the program fails.
+//! Errors of the commands.
 
 use std::io;
 use std::path::PathBuf;
@@ -6,35 +6,35 @@
 use doorproxy_simulation::scenario::ScenarioError;
 use thiserror::Error;
 
-/// A command that could not be carried out; the program then exits with 2.
+/// The reason why a command failed. The program then exits with 2.
 #[derive(Debug, Error)]
 pub enum CliError {
-    /// There is no such mutant.
-    #[error("no plant {0:?}; --plant list names them")]
+    /// The mutant does not exist.
+    #[error("--plant: {0:?} does not exist; `--plant list` prints all names")]
     UnknownMutant(String),
-    /// The seeds are no range.
-    #[error("seeds such as 0..10000 expected, not {0:?}")]
+    /// The value of `--seeds` is not a range.
+    #[error("--seeds: {0:?} is not a range such as 0..10000")]
     SeedRange(String),
-    /// Neither or both of the sources of a scenario are given.
-    #[error("either --seed or --script expected")]
+    /// Neither or both of `--seed` and `--script` are given.
+    #[error("--seed, --script: exactly one of them must be given")]
     ScenarioSource,
     /// A file cannot be read or written.
     #[error("{}: {source}", path.display())]
     Io {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// The failure.
+        /// The I/O error.
         source: io::Error,
     },
-    /// A file holds no scenario.
+    /// A file is not a scenario.
     #[error("{}: {source}", path.display())]
     Scenario {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why.
+        /// The reason why it is not one.
         source: ScenarioError,
     },
-    /// A worker panicked.
+    /// A worker thread panicked.
     #[error("a run panicked")]
     WorkerPanicked,
 }
--- a/crates/simulation/src/generator.rs
+++ b/crates/simulation/src/generator.rs
@@ -1,7 +1,7 @@
-//! Generates scenarios from seeds, and from nothing else.
+//! Generates scenarios. The seed alone determines a scenario.
 //!
-//! Half of them aim at one of the hard cases. All hold further faults that overlap, and many of these begin or end
-//! together with another.
+//! Half of the scenarios aim at one of the hard cases. All contain additional overlapping faults, many of
+//! which begin or end together with another.
 
 use doorproxy::rng::{Pcg, mix};
 
@@ -10,7 +10,7 @@
 use crate::scenario::{Fault, FaultKind, Scenario, TRIGGERING_SERVER, Trigger, TriggerEvent};
 use crate::time::{MS, Micros, SECOND};
 
-/// Endpoints are alternately in one of so many zones.
+/// The number of zones; endpoints are assigned to them in turn.
 const ZONES: u64 = 2;
 const MAX_MEAN_WORK: Micros = 400 * MS;
 
@@ -18,38 +18,38 @@
     min + random_below(rng, max - min + 1)
 }
 
-/// How many there are of what a kind of fault has as its target.
+/// Returns the number of possible targets of a kind of fault.
 fn target_count(scenario: &Scenario, kind: FaultKind) -> u64 {
     match kind {
         FaultKind::LoseZone => ZONES,
-        FaultKind::Cut
-        | FaultKind::CutList
+        FaultKind::Partition
+        | FaultKind::DiscoveryPartition
         | FaultKind::KillBalancer
-        | FaultKind::EndBalancer
-        | FaultKind::Reload => u64::from(scenario.balancers),
+        | FaultKind::ShutDownBalancer
+        | FaultKind::MoveDiscovery => u64::from(scenario.balancers),
         _ => u64::from(scenario.servers),
     }
 }
 
 fn second_target_count(scenario: &Scenario, kind: FaultKind) -> u64 {
     match kind {
-        FaultKind::OneWay | FaultKind::PutOut => u64::from(scenario.balancers),
+        FaultKind::OneWayPartition | FaultKind::EjectManually => u64::from(scenario.balancers),
         _ => u64::from(scenario.servers),
     }
 }
 
 fn random_magnitude(rng: &mut Pcg, kind: FaultKind) -> f64 {
     match kind {
-        FaultKind::Slow => random_between(rng, 2, 12) as f64,
-        FaultKind::ListLate => random_between(rng, 1, 8) as f64 / 2.0,
-        FaultKind::Storm => random_between(rng, 2, 6) as f64,
-        FaultKind::Late => random_between(rng, 40, 240) as f64,
-        FaultKind::SlowNet => random_between(rng, 1, 15) as f64,
+        FaultKind::SlowServer => random_between(rng, 2, 12) as f64,
+        FaultKind::DiscoveryDelay => random_between(rng, 1, 8) as f64 / 2.0,
+        FaultKind::RequestStorm => random_between(rng, 2, 6) as f64,
+        FaultKind::DelayAccepts => random_between(rng, 40, 240) as f64,
+        FaultKind::SlowNetwork => random_between(rng, 1, 15) as f64,
         _ => 0.0,
     }
 }
 
-/// Draws every field; those that the text of this kind does not have are 0 in the fault.
+/// Draws all fields of a fault, and then sets those that the pattern of its kind does not contain to 0.
 fn random_fault(rng: &mut Pcg, scenario: &Scenario, kind: FaultKind, trigger: Trigger) -> Fault {
     let magnitude = random_magnitude(rng, kind);
     let target = random_below(rng, target_count(scenario, kind)) as u32;
@@ -66,7 +66,7 @@
     }
 }
 
-/// The scenario of a seed, with balancers.
+/// Returns the scenario of a seed, with balancers.
 pub fn generate_scenario(seed: u64) -> Scenario {
     let mut rng = Pcg::new(mix(seed));
     let rng = &mut rng;
@@ -75,7 +75,7 @@
     let utilization = 0.25 + 0.75 * rng.next_f64();
     let work = (utilization * f64::from(servers) / rate * SECOND as f64) as Micros;
     let requests = random_between(rng, 110, 220) as u32;
-    // The fields draw in their order here.
+    // The fields draw random numbers in this order, which determines the scenario of a seed.
     let mut scenario = Scenario {
         seed,
         balancers: random_between(rng, 2, 3) as u32,
@@ -98,7 +98,8 @@
     scenario
 }
 
-/// The same with sidecars, without the faults that a sidecar cannot meet, such as those of discovery.
+/// Returns the scenario of a seed with sidecars. Faults that do not apply to a sidecar, such as those of
+/// discovery, are left out.
 pub fn generate_sidecar_scenario(seed: u64) -> Scenario {
     let mut scenario = generate_scenario(seed);
     scenario.uses_sidecar = true;
@@ -108,17 +109,24 @@
 
 fn needs_discovery(kind: FaultKind) -> bool {
     kind.pattern().contains("list")
-        || matches!(kind, FaultKind::Drain | FaultKind::Replace | FaultKind::Reload | FaultKind::PutOut)
+        || matches!(
+            kind,
+            FaultKind::DrainServer
+                | FaultKind::ReplaceServer
+                | FaultKind::MoveDiscovery
+                | FaultKind::EjectManually
+        )
 }
 
 fn add_overlapping_faults(rng: &mut Pcg, scenario: &mut Scenario, load_duration: Micros) {
-    let from_hard_case = scenario.faults.len() as u64;
-    let count = random_between(rng, 2, 3).saturating_sub(from_hard_case / 2).max(1);
+    let hard_case_faults = scenario.faults.len() as u64;
+    let count = random_between(rng, 2, 3).saturating_sub(hard_case_faults / 2).max(1);
     let base = random_between(rng, 0, load_duration / MS) * MS;
     let mut previous_end = base;
     for _ in 0..count {
         let kind = FaultKind::ALL[random_below(rng, FaultKind::ALL.len() as u64) as usize];
-        // Together with another, at its end, or somewhere near.
+        // The fault begins together with another, at the end of the previous one, or at a random time near
+        // them.
         let at = match random_below(rng, 4) {
             0 => base,
             1 => previous_end,
@@ -130,7 +138,7 @@
     }
 }
 
-/// Adds a fault; the duration given replaces the one that is drawn.
+/// Adds a fault. A given duration replaces the one that is drawn.
 fn add_fault(
     rng: &mut Pcg,
     scenario: &mut Scenario,
@@ -146,7 +154,7 @@
     scenario.faults.push(fault);
 }
 
-/// Adds the faults that aim at one of the hard cases.
+/// Adds faults that aim at a randomly drawn hard case.
 fn add_hard_case(rng: &mut Pcg, scenario: &mut Scenario, load_duration: Micros) {
     let at = random_between(rng, load_duration / 5 / MS, load_duration * 4 / 5 / MS) * MS;
     let begin = Trigger::At(at);
@@ -154,46 +162,46 @@
     let count = random_between(rng, 1, 6) as u32;
     match case {
         HardCase::DrainAtRetry => {
-            add_fault(rng, scenario, FaultKind::Fail, begin, Some(3 * SECOND));
-            add_fault(rng, scenario, FaultKind::Spoil, begin, Some(3 * SECOND));
-            let retry = Trigger::On(TriggerEvent::Retry, count);
-            add_fault(rng, scenario, FaultKind::Drain, retry, None);
+            add_fault(rng, scenario, FaultKind::FailRequests, begin, Some(3 * SECOND));
+            add_fault(rng, scenario, FaultKind::MalformedResponses, begin, Some(3 * SECOND));
+            let retry = Trigger::On(TriggerEvent::RetryReceived, count);
+            add_fault(rng, scenario, FaultKind::DrainServer, retry, None);
         }
         HardCase::AnswerAfterTimeout => {
-            let sent = Trigger::On(TriggerEvent::OrderSent, count);
-            add_fault(rng, scenario, FaultKind::Hang, sent, Some(3500 * MS));
+            let sent = Trigger::On(TriggerEvent::NonIdempotentReceived, count);
+            add_fault(rng, scenario, FaultKind::HangRequests, sent, Some(3500 * MS));
         }
         HardCase::AnswerAtDeadline => {
             for _ in 0..4 {
-                add_fault(rng, scenario, FaultKind::Brink, begin, Some(4 * SECOND));
+                add_fault(rng, scenario, FaultKind::RespondAtDeadline, begin, Some(4 * SECOND));
             }
         }
         HardCase::CloseCrossesRequest => {
             scenario.socket_limit = 96;
             scenario.clients = 12;
-            add_fault(rng, scenario, FaultKind::Storm, begin, Some(3 * SECOND));
+            add_fault(rng, scenario, FaultKind::RequestStorm, begin, Some(3 * SECOND));
         }
         HardCase::ServerDiesBeforeAnswer => {
-            let sent = Trigger::On(TriggerEvent::Sent, count * 9);
-            add_fault(rng, scenario, FaultKind::Kill, sent, None);
+            let sent = Trigger::On(TriggerEvent::AttemptReceived, count * 9);
+            add_fault(rng, scenario, FaultKind::KillServer, sent, None);
         }
         HardCase::AddressReusedWhileConnecting => {
             let duration = random_between(rng, 0, 3) * 100;
             let connect = Trigger::On(TriggerEvent::Connect, count * 4);
-            add_fault(rng, scenario, FaultKind::Replace, connect, Some(duration));
+            add_fault(rng, scenario, FaultKind::ReplaceServer, connect, Some(duration));
         }
         HardCase::DiscoveryOutageWithZoneLoss => {
-            add_fault(rng, scenario, FaultKind::ListDown, begin, None);
+            add_fault(rng, scenario, FaultKind::DiscoveryDown, begin, None);
             add_fault(rng, scenario, FaultKind::LoseZone, begin, None);
         }
         HardCase::ShutdownDuringStorm => {
-            add_fault(rng, scenario, FaultKind::Storm, begin, Some(3 * SECOND));
+            add_fault(rng, scenario, FaultKind::RequestStorm, begin, Some(3 * SECOND));
             let shutdown = Trigger::At(at + random_between(rng, 0, 2000) * MS);
-            add_fault(rng, scenario, FaultKind::EndBalancer, shutdown, None);
+            add_fault(rng, scenario, FaultKind::ShutDownBalancer, shutdown, None);
         }
         HardCase::RetryThroughAnotherBalancer => {
             add_fault(rng, scenario, FaultKind::KillBalancer, begin, None);
         }
-        HardCase::AllServersWarmingUp => add_fault(rng, scenario, FaultKind::AllCold, begin, None),
+        HardCase::AllServersWarmingUp => add_fault(rng, scenario, FaultKind::RestartAllServers, begin, None),
     }
 }
--- a/crates/simulation/src/hard_cases.rs
+++ b/crates/simulation/src/hard_cases.rs
@@ -1,19 +1,19 @@
-//! Coincidences that the runs together must have met, each named as the coverage prints it.
+//! Hard cases: coincidences that the runs as a whole must cover.
 
 macro_rules! hard_cases {
     ($($name:ident $text:literal,)*) => {
-        /// A coincidence that is easy to get wrong.
+        /// A coincidence of events that is easy to handle wrongly.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub enum HardCase { $(
-            #[doc = concat!("Met as: ", $text, ".")]
+            #[doc = concat!("Printed as `", $text, "`.")]
             $name
         ),* }
 
         impl HardCase {
-            /// Every case, by its number.
+            /// All cases in the order of their numbers.
             pub const ALL: &[HardCase] = &[$(HardCase::$name),*];
 
-            /// The name that is printed.
+            /// Returns the printed name.
             pub fn name(self) -> &'static str {
                 match self { $(HardCase::$name => $text),* }
             }
@@ -21,16 +21,17 @@
     };
 }
 
-// Generated scenarios hold the numbers, which are the order here; so do the names of the files in `tests/cases`.
+// The order determines the numbers of the cases. The generated scenarios and the names of the files in
+// `tests/cases` depend on them, so the order must not change.
 hard_cases! {
-    DrainAtRetry "a drain notice in the tick of a retry",
-    AnswerAfterTimeout "an at-most-once op times out and is answered later",
-    AnswerAtDeadline "an answer in the tick in which the time ends",
-    CloseCrossesRequest "a client's crossed close with its resend",
-    ServerDiesBeforeAnswer "a server dies between the last byte and the answer",
-    AddressReusedWhileConnecting "a new id at an old address while a push connects",
-    DiscoveryOutageWithZoneLoss "a list outage as a zone goes",
-    ShutdownDuringStorm "SIGTERM during a storm",
-    RetryThroughAnotherBalancer "a balancer killed, its ops retried through another",
-    AllServersWarmingUp "all servers cold together",
+    DrainAtRetry "a drain notice at the time of a retry",
+    AnswerAfterTimeout "a non-idempotent request times out and is answered later",
+    AnswerAtDeadline "an answer at the deadline",
+    CloseCrossesRequest "a close crosses a request, which the client sends again",
+    ServerDiesBeforeAnswer "a server dies between the last byte of a request and the answer",
+    AddressReusedWhileConnecting "an address gets a new server while an attempt connects",
+    DiscoveryOutageWithZoneLoss "a discovery outage together with the loss of a zone",
+    ShutdownDuringStorm "SIGTERM during a request storm",
+    RetryThroughAnotherBalancer "a balancer is killed and its requests are retried through another",
+    AllServersWarmingUp "all servers warm up together",
 }
--- a/crates/simulation/src/mutants.rs
+++ b/crates/simulation/src/mutants.rs
@@ -1,5 +1,7 @@
-//! Mutants: seeded bugs between a balancer and its network, each of which breaks a rule, to show that the checker finds
-//! it. The balancer's code is the one that serves; a mutant acts on its connections from outside.
+//! Mutants: deliberate bugs that show that the checker finds violations.
+//!
+//! Each mutant breaks one or more rules. It acts on a balancer's connections from outside; the balancer's own
+//! code is the same as in production.
 
 mod hooks;
 mod requests;
@@ -11,10 +13,10 @@
 
 macro_rules! mutants {
     ($($name:ident $text:literal $rules:expr,)*) => {
-        /// A seeded bug.
+        /// A deliberate bug.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub enum Mutant { $(
-            #[doc = concat!("Chosen as `", $text, "`.")]
+            #[doc = concat!("Selected by `--plant ", $text, "`.")]
             $name
         ),* }
 
@@ -22,12 +24,12 @@
             /// Every mutant.
             pub const ALL: &[Mutant] = &[$(Mutant::$name),*];
 
-            /// The name by which it is chosen and printed.
+            /// Returns the name by which it is selected and printed.
             pub fn name(self) -> &'static str {
                 match self { $(Mutant::$name => $text),* }
             }
 
-            /// The rules as a violation of which it may be found.
+            /// Returns the rules that it breaks; a violation of any of them counts as found.
             pub fn rules(self) -> &'static [Rule] {
                 match self { $(Mutant::$name => &$rules),* }
             }
@@ -36,20 +38,20 @@
 }
 
 mutants! {
-    RepeatedNonIdempotent "order-again" [Rule::Repeated, Rule::ExecutedTwice],
-    RepeatAfterWindow "token-late" [Rule::Repeated],
-    RepeatOutsideScope "token-astray" [Rule::Repeated, Rule::ExecutedTwice],
-    AttemptAfterDrain "after-drain" [Rule::Draining],
+    RepeatedNonIdempotent "repeated-non-idempotent" [Rule::Repeated, Rule::ExecutedTwice],
+    RepeatAfterWindow "repeat-after-window" [Rule::Repeated],
+    RepeatOutsideScope "repeat-outside-scope" [Rule::Repeated, Rule::ExecutedTwice],
+    AttemptAfterDrain "attempt-after-drain" [Rule::AttemptAfterDrain],
     SecondAnswer "second-answer" [Rule::SecondAnswer],
     NoAnswer "no-answer" [Rule::Unanswered],
-    OtherAnswer "other-answer" [Rule::WrongAnswer],
-    SlowStartOverload "cold-flood" [Rule::WarmingUp],
-    RejectionAfterExecution "nack-after-run" [Rule::RejectedAfterExecution],
-    LeakedTask "leak-op" [Rule::Leak],
+    PreviousAnswer "previous-answer" [Rule::WrongAnswer],
+    SlowStartOverload "slow-start-overload" [Rule::SlowStartOverload],
+    RejectionAfterExecution "rejection-after-execution" [Rule::RejectedAfterExecution],
+    LeakedTask "leaked-task" [Rule::Leak],
     LostWakeUp "lost-wake-up" [Rule::Unanswered, Rule::NoProgress],
-    AttemptAfterAnswer "after-answer" [Rule::AttemptAfterAnswer],
-    AlteredRequest "altered" [Rule::AlteredRequest],
-    AttemptAfterEjection "after-ban" [Rule::Detached],
-    StreamedTwice "twice-streamed" [Rule::StreamedTwice, Rule::Repeated, Rule::ExecutedTwice],
-    TruncatedAnswer "cut-whole" [Rule::WrongAnswer],
+    AttemptAfterAnswer "attempt-after-answer" [Rule::AttemptAfterAnswer],
+    AlteredRequest "altered-request" [Rule::AlteredRequest],
+    AttemptAfterEjection "attempt-after-ejection" [Rule::ManuallyEjected],
+    StreamedTwice "streamed-twice" [Rule::StreamedTwice, Rule::Repeated, Rule::ExecutedTwice],
+    TruncatedAnswer "truncated-answer" [Rule::WrongAnswer],
 }
--- a/crates/simulation/src/mutants/hooks.rs
+++ b/crates/simulation/src/mutants/hooks.rs
@@ -1,4 +1,5 @@
-//! The hooks of a balancer's runtime: they observe its connections, and act where a run has a mutant.
+//! The hooks of a balancer's runtime, which observe its connections and apply the run's mutant if there is
+//! one.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -16,12 +17,12 @@
 use crate::scenario::TriggerEvent;
 use crate::stream::SimulatedStream;
 
-/// The mutant lets one wake-up in so many get lost,
+/// One wake-up in this many is lost under [`Mutant::LostWakeUp`].
 const LOSE_WAKE_UP_ONE_IN: u64 = 40;
-/// and leaks a task at one close in so many.
+/// One closed connection in this many leaks a task under [`Mutant::LeakedTask`].
 const LEAK_ONE_IN: u64 = 2;
 
-/// What the hooks of one balancer process know.
+/// The hooks of one balancer process.
 pub struct MutantHooks {
     pub(super) mutant: Option<Mutant>,
     records: Arc<SharedRecords>,
@@ -29,7 +30,7 @@
     traffic: Mutex<ObservedTraffic>,
 }
 
-/// An attempt as far as it is written.
+/// The bytes of an attempt that the balancer has written so far.
 struct AttemptBytes {
     destination: SocketAddr,
     bytes: Vec<u8>,
@@ -37,20 +38,21 @@
 
 #[derive(Default)]
 pub(super) struct ObservedTraffic {
-    /// By connection.
+    /// The latest attempt on each connection.
     attempts: BTreeMap<u64, AttemptBytes>,
-    /// Attempts, answers and, with a lost wake-up, waits: one count for all, which decides when a mutant acts.
+    /// The count of attempts and responses, and under [`Mutant::LostWakeUp`] also of pending reads. Mutants
+    /// act on every nth occurrence.
     pub occurrences: u64,
     pub last_response: Vec<u8>,
-    /// The connection to a client whose answer is withheld.
+    /// The connection to a client whose response is suppressed.
     pub suppressed_connection: Option<u64>,
     closed_connections: u64,
-    /// Requests that were sent to a warming endpoint already.
+    /// The requests of which a copy was sent to an endpoint that was warming up.
     pub copied_requests: BTreeSet<String>,
 }
 
 impl MutantHooks {
-    /// The hooks of a process, with a mutant or without.
+    /// Creates the hooks of a process, with or without a mutant.
     pub fn new(context: &Arc<ClusterContext>, mutant: Option<Mutant>) -> Arc<MutantHooks> {
         Arc::new(MutantHooks {
             mutant,
@@ -64,7 +66,8 @@
         self.traffic.lock().expect("no panic while the traffic is locked")
     }
 
-    /// Collects what is written to an endpoint; the attempt and the count so far once it belongs to one.
+    /// Collects the bytes that are written to an endpoint. Returns the attempt that they belong to, as
+    /// written so far, or `None` if they belong to none.
     fn observe_attempt(
         &self,
         context: &ClusterContext,
@@ -103,7 +106,7 @@
     fn intercept_send(&self, stream: &SimulatedStream, bytes: &[u8]) -> Option<usize> {
         let mutant = self.mutant?;
         match stream.socket.side {
-            Side::Connector => super::requests::alter(mutant, stream, bytes),
+            Side::Connector => super::requests::alter_request(mutant, stream, bytes),
             Side::Acceptor => self.intercept_response(mutant, stream, bytes),
         }
     }
@@ -148,7 +151,7 @@
     }
 }
 
-/// Writes past the hooks, as much as the network takes.
+/// Writes without calling the hooks, as many bytes as the network accepts.
 pub(super) fn send_unobserved(stream: &SimulatedStream, bytes: &[u8]) {
     let mut rest = bytes;
     while !rest.is_empty() {
@@ -159,14 +162,14 @@
     }
 }
 
-/// The value of a header, whose name is given in lower case.
+/// Returns the value of a header; `name` must be in lower case.
 pub(super) fn header_value<'a>(bytes: &'a [u8], name: &str) -> Option<&'a str> {
     let text = std::str::from_utf8(bytes).ok()?;
     let line = text.lines().find(|line| line.to_ascii_lowercase().starts_with(name))?;
     line.split_once(':').map(|(_, value)| value.trim())
 }
 
-/// The declared length of a body; 0 without one.
+/// Returns the value of `Content-Length`, or 0 if the header is missing.
 pub(super) fn content_length(bytes: &[u8]) -> usize {
     header_value(bytes, "content-length").and_then(|value| value.parse().ok()).unwrap_or(0)
 }
--- a/crates/simulation/src/mutants/responses.rs
+++ b/crates/simulation/src/mutants/responses.rs
@@ -1,17 +1,18 @@
-//! Mutants that withhold, repeat or change an answer to a client.
+//! Mutants that suppress, repeat or change a response to a client.
 
 use super::Mutant;
 use super::hooks::{MutantHooks, content_length, send_unobserved};
 use crate::request_class::MAX_BUFFERED_BODY_BYTES;
 use crate::stream::SimulatedStream;
 
-/// What a truncated answer declares as its length.
+/// The length that a truncated response declares.
 const TRUNCATED_BODY_BYTES: usize = 2000;
-/// Where the status stands in a response.
+/// The position of the status code in a response.
 const STATUS_BYTES: std::ops::Range<usize> = 9..12;
 
 impl MutantHooks {
-    /// Writes something else in place of an answer, if the mutant does so.
+    /// Suppresses, repeats or replaces a response if the mutant does so. Returns the number of bytes that it
+    /// handled in place of the balancer, or `None` if the balancer's bytes are to be written.
     pub(super) fn intercept_response(
         &self,
         mutant: Mutant,
@@ -35,7 +36,7 @@
                 send_unobserved(stream, bytes);
                 None
             }
-            Mutant::OtherAnswer if bytes.starts_with(b"HTTP/1.1 200") => {
+            Mutant::PreviousAnswer if bytes.starts_with(b"HTTP/1.1 200") => {
                 let previous = std::mem::replace(&mut traffic.last_response, bytes.to_vec());
                 drop(traffic);
                 if previous.len() != bytes.len() || !occurrence.is_multiple_of(4) {
@@ -60,7 +61,7 @@
     }
 }
 
-/// Declares a streamed answer to be shorter than it is.
+/// Declares a streamed response shorter than it is.
 fn truncate(stream: &SimulatedStream, bytes: &[u8]) -> Option<usize> {
     let length = content_length(bytes);
     if length <= MAX_BUFFERED_BODY_BYTES {
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -1,4 +1,4 @@
-//! What the command line prints of a series of runs.
+//! Prints the coverage of a series of runs.
 
 use std::collections::BTreeMap;
 
@@ -8,15 +8,15 @@
 use crate::runner::{Coverage, fault_pair_name};
 use crate::scenario::FaultKind;
 
-/// Prints all that runs should meet, with how often they did, also where that is never.
+/// Prints how often each fault, attempt result and hard case occurred, including those that never did.
 pub fn print_coverage(coverage: &Coverage) {
     println!("faults:");
     for kind in FaultKind::ALL {
-        let name = format!("{kind:?}");
-        println!("  {:8} {name}", count_of(&coverage.faults.0, &name));
+        let name = kind.name();
+        println!("  {:8} {name}", count_of(&coverage.faults.0, name));
     }
     print_fault_pairs(coverage);
-    println!("endings of pushes:");
+    println!("attempt results:");
     for name in AttemptResult::NAMES {
         println!("  {:8} {name}", count_of(&coverage.attempt_results.0, name));
     }
@@ -24,7 +24,7 @@
     for case in HardCase::ALL {
         println!("  {:8} {}", count_of(&coverage.hard_cases.0, case.name()), case.name());
     }
-    println!("what clients and servers saw:");
+    println!("observed by clients and servers:");
     for (name, count) in &coverage.outcomes.0 {
         println!("  {count:8} {name}");
     }
@@ -38,7 +38,10 @@
         .collect();
     let missing = counts.iter().filter(|count| **count == 0).count();
     let rarest = counts.iter().min().copied().unwrap_or(0);
-    println!("pairs of faults: {} in all, {missing} never met, the rarest {rarest} times", counts.len());
+    println!(
+        "pairs of faults: {} in total, {missing} never overlapped, the rarest overlapped {rarest} times",
+        counts.len()
+    );
 }
 
 fn count_of(counts: &BTreeMap<String, u64>, name: &str) -> u64 {
--- a/crates/simulation/src/rule.rs
+++ b/crates/simulation/src/rule.rs
@@ -1,10 +1,10 @@
-//! The rules that a run is checked against, by name and by number.
+//! The rules that the checker applies to a run, with their printed names and numbers.
 
 use std::fmt::{self, Display};
 
 macro_rules! rules {
     ($($name:ident $number:literal $text:literal,)*) => {
-        /// A rule of the service, as `docs/design/faults.md` lists them.
+        /// A rule of the service. `docs/design/faults.md` lists them all.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         #[repr(u8)]
         pub enum Rule { $(
@@ -13,7 +13,7 @@
         ),* }
 
         impl Rule {
-            /// The name that is printed.
+            /// Returns the printed name.
             pub fn name(self) -> &'static str {
                 match self { $(Rule::$name => $text),* }
             }
@@ -21,14 +21,14 @@
     };
 }
 
-// Committed sums hold the numbers.
+// The committed sums include these numbers, so they must not change.
 rules! {
     Unanswered 1 "unanswered",
     Lost 2 "lost",
     LateAnswer 3 "late-answer",
     SecondAnswer 4 "second-answer",
     WrongAnswer 5 "wrong-answer",
-    Rejected 6 "turned-away",
+    Refused 6 "turned-away",
     AttemptAfterAnswer 7 "push-after-answer",
     AttemptAfterDisconnect 8 "push-after-client",
     AttemptAfterDeadline 9 "push-after-ttl",
@@ -37,9 +37,9 @@
     RejectedAfterExecution 12 "nack-after-run",
     TooManyAttempts 13 "too-many-pushes",
     StreamedTwice 14 "streamed-twice",
-    Draining 15 "drain",
-    Detached 16 "ban",
-    WarmingUp 17 "cold",
+    AttemptAfterDrain 15 "drain",
+    ManuallyEjected 16 "ban",
+    SlowStartOverload 17 "cold",
     UnknownRequest 18 "unknown-op",
     AlteredRequest 19 "altered-op",
     NoProgress 20 "no-progress",
--- a/crates/simulation/src/runner.rs
+++ b/crates/simulation/src/runner.rs
@@ -1,4 +1,4 @@
-//! One run, from its scenario to its report.
+//! Runs one scenario and reports the result.
 
 use crate::checker::Violation;
 use crate::cluster::Cluster;
@@ -11,48 +11,48 @@
 use crate::time::{MS, Micros, SECOND};
 use crate::trace::Digest;
 
-/// How long the cluster goes on after the last request and the last fault.
+/// The time for which the cluster runs after the last request and the last fault.
 const SETTLE_TIME: Micros = 4 * SECOND;
-/// Idle connections are closed within this.
+/// The time within which the balancers must close their idle connections.
 const QUIESCENCE_TIME: Micros = 16 * SECOND;
-/// A balancer that is asked to end, with nothing to do, has ended within this.
+/// The time within which an idle balancer must end after it was asked to shut down.
 const SHUTDOWN_TIME: Micros = 4 * SECOND;
-/// A fault is felt for so long after its end, where pairs are counted.
-const PAIR_AFTERMATH: Micros = 500 * MS;
+/// The time after the end of a fault during which another fault still counts as overlapping with it.
+const OVERLAP_MARGIN: Micros = 500 * MS;
 
-/// What is known after a run.
+/// The result of a run.
 pub struct RunReport {
-    /// The first rule that was broken.
+    /// The first violation.
     pub violation: Option<Violation>,
-    /// The sum of the events, whatever the lines of the trace say.
+    /// The digest of the events, which does not depend on the wording of the trace.
     pub events: Digest,
-    /// The sum of the lines of the trace.
-    pub line_count: Digest,
-    /// The trace, if it was asked for.
+    /// The digest of the lines of the trace.
+    pub lines: Digest,
+    /// The text of the trace; empty if it was not requested.
     pub trace: String,
-    /// Virtual time that passed.
+    /// The virtual time that passed.
     pub duration: Micros,
-    /// What was met.
+    /// The counts of what occurred in the run.
     pub coverage: Coverage,
 }
 
-/// What runs met, each with how often.
+/// Counts of what occurred in one or more runs.
 #[derive(Clone, Default)]
 pub struct Coverage {
-    /// Kinds of faults.
+    /// The kinds of faults that were applied.
     pub faults: Counters,
-    /// Pairs of faults that overlapped.
+    /// The pairs of faults that overlapped.
     pub fault_pairs: Counters,
-    /// Results of attempts.
+    /// The results of attempts.
     pub attempt_results: Counters,
-    /// Hard cases.
+    /// The hard cases.
     pub hard_cases: Counters,
-    /// What clients and endpoints saw.
+    /// What clients and endpoints observed, such as statuses.
     pub outcomes: Counters,
 }
 
 impl Coverage {
-    /// Adds what another run met.
+    /// Adds the counts of another run.
     pub fn add(&mut self, other: &Coverage) {
         self.faults.add_all(&other.faults);
         self.fault_pairs.add_all(&other.fault_pairs);
@@ -62,14 +62,15 @@
     }
 }
 
-/// The name of a pair of faults, in whatever order they are given.
+/// Returns the name of a pair of faults, which does not depend on the order of the arguments.
 pub fn fault_pair_name(one: FaultKind, other: FaultKind) -> String {
     let first = one.min(other);
     let second = one.max(other);
-    format!("{first:?} + {second:?}")
+    format!("{} + {}", first.name(), second.name())
 }
 
-/// Runs a scenario until it is over or a rule is broken. The text of the trace is kept only on request.
+/// Runs a scenario until it ends or breaks a rule. The text of the trace is kept only if `keeps_trace_text`
+/// is set.
 pub fn run_scenario(scenario: &Scenario, mutant: Option<Mutant>, keeps_trace_text: bool) -> RunReport {
     let cluster = Cluster::start(scenario, mutant, keeps_trace_text);
     run_phases(&cluster);
@@ -79,17 +80,10 @@
     let mut state = cluster.context.simulation.state();
     let duration = state.kernel.now;
     let trace = std::mem::take(&mut state.kernel.trace);
-    RunReport {
-        violation,
-        events: trace.events,
-        line_count: trace.lines,
-        trace: trace.text,
-        duration,
-        coverage,
-    }
+    RunReport { violation, events: trace.events, lines: trace.lines, trace: trace.text, duration, coverage }
 }
 
-/// Runs the load and the faults, then until everything is idle, then until the balancers have ended.
+/// Runs the load and the faults, then waits until the cluster is idle, and then shuts the balancers down.
 fn run_phases(cluster: &std::sync::Arc<Cluster>) {
     let simulation = &cluster.context.simulation;
     let records = &cluster.context.records;
@@ -106,7 +100,7 @@
         stop = simulation.run_until(load_end + QUIESCENCE_TIME + SHUTDOWN_TIME, is_over);
     }
     if stop == StopReason::Livelock {
-        let text = "tasks wake each other and no time passes".to_string();
+        let text = "tasks wake each other without end and virtual time stands still".to_string();
         let mut records = records.lock();
         records.report_violation(&mut simulation.state().kernel, Rule::NoProgress, &[], text);
     } else if !is_over() {
@@ -114,7 +108,7 @@
     }
 }
 
-/// When load and faults are over and the cluster had time to settle.
+/// Returns the time at which the load and the faults have ended and the cluster has had time to settle.
 fn settled_at(context: &ClusterContext) -> Micros {
     let faults = &context.scenario.faults;
     let longest = faults.iter().map(|fault| fault.duration).max().unwrap_or(0);
@@ -138,9 +132,9 @@
 fn count_faults(context: &ClusterContext, coverage: &mut Coverage) {
     let state = context.state();
     for (index, fault) in state.applied_faults.iter().enumerate() {
-        coverage.faults.increment(&format!("{:?}", fault.kind));
+        coverage.faults.increment(fault.kind.name());
         for other in &state.applied_faults[..index] {
-            if fault.start <= other.end + PAIR_AFTERMATH && other.start <= fault.end + PAIR_AFTERMATH {
+            if fault.start <= other.end + OVERLAP_MARGIN && other.start <= fault.end + OVERLAP_MARGIN {
                 coverage.fault_pairs.increment(&fault_pair_name(fault.kind, other.kind));
             }
         }
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -1,6 +1,6 @@
-//! A run as text that can be read, edited and kept: the cluster, the load, and the faults with their times.
+//! The text format of a run: the cluster, the load, and the faults with their times.
 //!
-//! The text holds all that a [`Scenario`] does; what a fault does to a cluster is in [`crate::cluster`].
+//! The text contains everything that a [`Scenario`] does. [`crate::cluster`] implements the faults.
 
 mod error;
 mod fault;
@@ -16,15 +16,15 @@
 use crate::time::{MS, Micros};
 use units::{format_seconds, parse_time};
 
-/// Requests a second that a scenario may have.
+/// The accepted range of requests per second.
 const RATE_LIMITS: Range<f64> = 0.1..1e5;
-/// A balancer cannot start with fewer.
+/// A balancer cannot start with fewer descriptors.
 const MIN_SOCKET_LIMIT: u32 = 64;
 
-/// All that determines a run.
+/// All inputs of a run. Two runs of the same scenario are identical.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// Seed of every random draw.
+    /// The seed of all random numbers.
     pub seed: u64,
     /// Number of balancers.
     pub balancers: u32,
@@ -32,19 +32,19 @@
     pub servers: u32,
     /// Number of clients.
     pub clients: u32,
-    /// The requests of the load that are sent: from the first number up to, but not including, the second.
+    /// The numbers of the requests to send, from the first up to but not including the second.
     pub requests: (u32, u32),
-    /// Load in requests a second.
+    /// The load in requests per second.
     pub requests_per_second: f64,
-    /// Mean work of a request on a core of usual speed.
+    /// The mean work of a request on a core of normal speed.
     pub mean_work: Micros,
-    /// One-way latency of the network.
+    /// The one-way latency of the network.
     pub latency: Micros,
-    /// Arrivals fall on multiples of this.
+    /// Data arrives only at multiples of this time.
     pub tick: Micros,
-    /// Descriptors that a balancer may have open.
+    /// The number of descriptors that a balancer may have open.
     pub socket_limit: u32,
-    /// Sidecars stand in the place of balancers; they know their endpoints from a file.
+    /// Whether sidecars run in place of balancers. A sidecar reads its endpoints from a file.
     pub uses_sidecar: bool,
     /// The faults, in the order of the text.
     pub faults: Vec<Fault>,
@@ -91,7 +91,7 @@
 impl FromStr for Scenario {
     type Err = ScenarioError;
 
-    /// Reads a scenario. What the text leaves out has its default; `#` begins a comment.
+    /// Reads a scenario. Omitted lines have their defaults; `#` begins a comment.
     fn from_str(text: &str) -> Result<Scenario, ScenarioError> {
         let mut scenario = Scenario::default();
         for (index, line) in text.lines().enumerate() {
@@ -116,7 +116,7 @@
     fn read_line(&mut self, line: &str) -> Result<(), LineProblem> {
         let (word, value) = line.split_once(' ').ok_or(LineProblem::MissingValue)?;
         match word {
-            "seed" => self.seed = parse_whole(value)?,
+            "seed" => self.seed = parse_integer(value)?,
             "balancers" => self.balancers = parse_count(value)?,
             "servers" => self.servers = parse_count(value)?,
             "clients" => self.clients = parse_count(value)?,
@@ -134,12 +134,12 @@
     }
 }
 
-fn parse_whole(value: &str) -> Result<u64, LineProblem> {
-    value.parse().map_err(|_| LineProblem::NotWhole)
+fn parse_integer(value: &str) -> Result<u64, LineProblem> {
+    value.parse().map_err(|_| LineProblem::NotInteger)
 }
 
 fn parse_count(value: &str) -> Result<u32, LineProblem> {
-    u32::try_from(parse_whole(value)?).map_err(|_| LineProblem::TooLarge)
+    u32::try_from(parse_integer(value)?).map_err(|_| LineProblem::TooLarge)
 }
 
 fn parse_time_value(value: &str) -> Result<Micros, LineProblem> {
--- a/crates/simulation/src/scenario/error.rs
+++ b/crates/simulation/src/scenario/error.rs
@@ -1,56 +1,56 @@
-//! Why a text is no scenario.
+//! Errors of reading a scenario.
 
 use thiserror::Error;
 
-/// A text that is no scenario.
+/// The reason why a text is not a scenario.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum ScenarioError {
-    /// A line that cannot be read.
-    #[error("line {number}: {problem}: {text:?}")]
+    /// A line is not valid.
+    #[error("line {number}: {text:?}: {problem}")]
     Line {
-        /// Its number, from 1 on.
+        /// The line number, from 1.
         number: usize,
-        /// What is wrong.
+        /// The problem of the line.
         #[source]
         problem: LineProblem,
         /// The line without its comment.
         text: String,
     },
-    /// The cluster lacks a kind of node.
-    #[error("a balancer, a server and a client at the least expected")]
+    /// The number of balancers, servers or clients is 0.
+    #[error("balancers, servers, clients: one of them is 0; each must be at least 1")]
     MissingNode,
 }
 
-/// What is wrong with a line.
+/// The reason why a line is not valid.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum LineProblem {
-    /// There is only one word.
-    #[error("a word and a value expected")]
+    /// The line has only one word.
+    #[error("value is missing; a line is a keyword and a value")]
     MissingValue,
-    /// The value is no whole number.
-    #[error("a whole number expected")]
-    NotWhole,
+    /// The value is not a whole number.
+    #[error("value is not a whole number")]
+    NotInteger,
     /// The value does not fit into 32 bits.
-    #[error("a smaller number expected")]
+    #[error("value does not fit into 32 bits")]
     TooLarge,
-    /// The value is no time, or has no unit.
-    #[error("a time such as 1.5s or 20ms expected")]
+    /// The value is not a time, or has no unit.
+    #[error("value is not a time; accepted are seconds such as 1.5s and milliseconds such as 20ms")]
     NotTime,
-    /// The value is no range.
-    #[error("a range such as 0..100 expected")]
+    /// The value is not a range.
+    #[error("value is not a range such as 0..100")]
     NotRange,
-    /// The value is no rate, or out of its limits.
-    #[error("ops a second expected")]
+    /// The value is not a number, or is outside the accepted range of rates.
+    #[error("value is not a rate; accepted are 0.1 to below 100000 requests per second")]
     NotRate,
-    /// The line begins with no word that scenarios have.
-    #[error("an unknown word")]
+    /// The line begins with an unknown keyword.
+    #[error("unknown keyword or value")]
     UnknownWord,
-    /// The line is to be a fault.
-    #[error(transparent)]
+    /// The line begins like a fault but is not one.
+    #[error("not a fault such as \"at 1s kill server 0 for 2s\"")]
     Fault(#[from] FaultError),
 }
 
-/// A text that is no fault.
+/// A text that is not a fault.
 #[derive(Clone, Debug, PartialEq, Error)]
-#[error("no fault: {0:?}")]
+#[error("{0:?}: not a fault")]
 pub struct FaultError(pub String);
--- a/crates/simulation/src/scenario/fault.rs
+++ b/crates/simulation/src/scenario/fault.rs
@@ -1,4 +1,4 @@
-//! One fault as text: what it waits for, its kind, its target, its magnitude and its duration.
+//! The text format of one fault: its trigger, kind, targets, magnitude and duration.
 
 use std::fmt::{self, Display, Write};
 use std::str::FromStr;
@@ -8,65 +8,71 @@
 use crate::time::Micros;
 
 macro_rules! fault_kinds {
-    ($($name:ident $pattern:literal,)*) => {
-        /// What a fault does.
+    ($($variant:ident $name:literal $pattern:literal,)*) => {
+        /// The kind of a fault.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
         pub enum FaultKind { $(
-            #[doc = concat!("`", $pattern, "`.")]
-            $name
+            #[doc = concat!("Written as `", $pattern, "`.")]
+            $variant
         ),* }
 
         impl FaultKind {
-            /// Every kind, by its number.
-            pub const ALL: &[FaultKind] = &[$(FaultKind::$name),*];
+            /// All kinds in the order of their numbers.
+            pub const ALL: &[FaultKind] = &[$(FaultKind::$variant),*];
 
-            /// The text of a fault of this kind: T is an endpoint, balancer or zone, O the second target, X the
-            /// magnitude and D the duration.
+            /// Returns the name under which coverage counts and prints the kind.
+            pub fn name(self) -> &'static str {
+                match self { $(FaultKind::$variant => $name),* }
+            }
+
+            /// Returns the pattern of the text of this kind. T stands for an endpoint, balancer or zone, O
+            /// for the second target, X for the magnitude and D for the duration.
             pub fn pattern(self) -> &'static str {
-                match self { $(FaultKind::$name => $pattern),* }
+                match self { $(FaultKind::$variant => $pattern),* }
             }
         }
     };
 }
 
-// Committed sums and generated scenarios hold the numbers, which are the order here.
+// The order determines the numbers of the kinds. The committed sums and the generated scenarios depend on
+// them, so the order must not change.
 fault_kinds! {
-    Kill "kill server T for D",
-    Vanish "vanish server T for D",
-    Replace "replace server T after D",
-    Slow "slow server T by X for D",
-    Fail "fail server T for D",
-    Hang "hang server T for D",
-    Full "fill server T for D",
-    Spoil "spoil server T for D",
-    Rude "rude server T for D",
-    Brink "brink server T for D",
-    Drain "drain server T for D",
-    Few "crowd server T for D",
-    Deaf "deafen server T for D",
-    Late "late server T by X for D",
-    LoseZone "lose zone T for D",
-    AllCold "restart all servers",
-    ListDown "list down for D",
-    ListMute "list mute for D",
-    ListLate "list late by X for D",
-    ListNonsense "list nonsense for D",
-    ListJump "list jumps",
-    Cut "cut balancer T from server O for D",
-    OneWay "cut server T to balancer O for D",
-    CutList "cut list from balancer T for D",
-    KillBalancer "kill balancer T for D",
-    EndBalancer "end balancer T for D",
-    Reload "reload balancer T",
-    Stutter "stutter balancer T for D",
-    Storm "storm by X for D",
-    SlowNet "slow network by X for D",
-    PutOut "put out server T at balancer O for D",
+    KillServer "Kill" "kill server T for D",
+    PowerOffServer "Vanish" "vanish server T for D",
+    ReplaceServer "Replace" "replace server T after D",
+    SlowServer "Slow" "slow server T by X for D",
+    FailRequests "Fail" "fail server T for D",
+    HangRequests "Hang" "hang server T for D",
+    DeclineRequests "Full" "fill server T for D",
+    MalformedResponses "Spoil" "spoil server T for D",
+    UnannouncedClose "Rude" "rude server T for D",
+    RespondAtDeadline "Brink" "brink server T for D",
+    DrainServer "Drain" "drain server T for D",
+    LimitConnections "Few" "crowd server T for D",
+    IgnoreConnections "Deaf" "deafen server T for D",
+    DelayAccepts "Late" "late server T by X for D",
+    LoseZone "LoseZone" "lose zone T for D",
+    RestartAllServers "AllCold" "restart all servers",
+    DiscoveryDown "ListDown" "list down for D",
+    DiscoverySilent "ListMute" "list mute for D",
+    DiscoveryDelay "ListLate" "list late by X for D",
+    DiscoveryNonsense "ListNonsense" "list nonsense for D",
+    DiscoveryVersionJump "ListJump" "list jumps",
+    Partition "Cut" "cut balancer T from server O for D",
+    OneWayPartition "OneWay" "cut server T to balancer O for D",
+    DiscoveryPartition "CutList" "cut list from balancer T for D",
+    KillBalancer "KillBalancer" "kill balancer T for D",
+    ShutDownBalancer "EndBalancer" "end balancer T for D",
+    MoveDiscovery "Reload" "reload balancer T",
+    StarveBalancer "Stutter" "stutter balancer T for D",
+    RequestStorm "Storm" "storm by X for D",
+    SlowNetwork "SlowNet" "slow network by X for D",
+    EjectManually "PutOut" "put out server T at balancer O for D",
 }
 
 macro_rules! trigger_events {
     ($($(#[$doc:meta])* $name:ident $text:literal,)*) => {
-        /// What a fault can wait for in place of a time.
+        /// An event that can trigger a fault in place of a time.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
         pub enum TriggerEvent { $($(#[$doc])* $name),* }
 
@@ -82,50 +88,51 @@
     };
 }
 
-// Committed sums hold the numbers, which are the order here.
+// The order determines the numbers of the events, which the committed sums include: it must not change.
 trigger_events! {
-    /// An endpoint has received a retry.
-    Retry "retry",
-    /// An endpoint has received an attempt.
-    Sent "sent",
+    /// An endpoint received a retry.
+    RetryReceived "retry",
+    /// An endpoint received an attempt.
+    AttemptReceived "sent",
     /// A balancer connects to an endpoint.
     Connect "connect",
-    /// An endpoint has received an attempt of a request that is not idempotent.
-    OrderSent "order-sent",
+    /// An endpoint received an attempt of a non-idempotent request.
+    NonIdempotentReceived "order-sent",
 }
 
-/// When a fault begins.
+/// The condition under which a fault begins.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Trigger {
-    /// At a time.
+    /// The fault begins at this time.
     At(Micros),
-    /// When the event happens for that time, counted from 1.
+    /// The fault begins at the nth occurrence of the event, counted from 1.
     On(TriggerEvent, u32),
 }
 
-/// The target of a fault that waits for an event: the endpoint to which that happened.
+/// The target number that stands for the endpoint at which the triggering event happened; written as `it`.
 pub const TRIGGERING_SERVER: u32 = u32::MAX;
 
-/// A fault of a scenario. What its kind's pattern does not name is 0.
+/// A fault of a scenario. Fields that the pattern of its kind does not contain are 0.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
-    /// When it begins.
+    /// The condition under which the fault begins.
     pub trigger: Trigger,
-    /// What it does.
+    /// The kind of the fault.
     pub kind: FaultKind,
-    /// Number of an endpoint, balancer or zone, modulo how many there are.
+    /// The number of an endpoint, balancer or zone, taken modulo their count.
     pub target: u32,
-    /// Number of another endpoint or balancer, modulo how many there are.
+    /// The number of another endpoint or balancer, taken modulo their count.
     pub second_target: u32,
-    /// By how much, in a unit that depends on the kind.
+    /// The magnitude, in a unit that depends on the kind.
     pub magnitude: f64,
-    /// How long it holds.
+    /// The time for which the fault lasts.
     pub duration: Micros,
 }
 
 impl Fault {
-    /// All that the fault's text says, as a trace has it: whether it waits for an event, the event, the time or count,
-    /// then kind, target, second target, magnitude and duration.
+    /// Returns the content of the fault's text as the numbers of a trace event: whether it waits for an
+    /// event, the event, the time or count, the kind, the target, the second target, the magnitude and the
+    /// duration.
     pub fn numbers(&self) -> [u64; 8] {
         let (waits_for_event, event, time_or_count) = match self.trigger {
             Trigger::At(at) => (0, 0, at),
@@ -143,7 +150,7 @@
         ]
     }
 
-    /// Reads the words of a fault of this kind.
+    /// Reads the words of a fault of this kind, or returns `None` if they do not match its pattern.
     fn parse_words(trigger: Trigger, kind: FaultKind, words: &[&str]) -> Option<Fault> {
         let pattern: Vec<&str> = kind.pattern().split(' ').collect();
         if pattern.len() != words.len() {
--- a/crates/simulation/src/trace.rs
+++ b/crates/simulation/src/trace.rs
@@ -1,46 +1,46 @@
-//! What happens in a run, as lines for readers. A line is an event or a message that a program logs.
+//! The trace of a run: one line for each event and for each message that a program logs.
 //!
-//! Events are also summed, by their numbers alone, so that no sum depends on the wording of a line.
+//! The digest of the events covers their numbers alone, so it does not depend on the wording of the lines.
 
 use std::fmt::{self, Arguments, Display, Write};
 
 use crate::time::{Micros, SECOND};
 
-/// The kind of an event. The committed sums hold these numbers: a new kind gets a new one.
+/// The kind of an event. The committed sums include these numbers, so a new kind needs an unused number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum EventKind {
-    /// A rule was broken; [`crate::rule::Rule`], and the numbers of what broke it.
+    /// A rule was broken. Numbers: [`crate::rule::Rule`], then those of the violation.
     RuleBroken = 1,
-    /// A client wrote the last byte of a request; request, client's host, connection.
+    /// A client wrote the last byte of a request. Numbers: request, client's host, connection.
     RequestSent = 2,
-    /// An endpoint received a whole request; request, start of the endpoint, endpoint, balancer, when the first byte
-    /// of it was sent.
+    /// An endpoint received a complete request. Numbers: request, start of the endpoint, endpoint, balancer,
+    /// time at which its first byte was sent.
     RequestReceived = 3,
-    /// The effect of a request happens; request, attempt, endpoint.
+    /// An endpoint executes a request. Numbers: request, attempt, endpoint.
     RequestExecuted = 4,
-    /// A client has its whole answer; request, status.
+    /// A client received a complete response. Numbers: request, status.
     RequestAnswered = 5,
-    /// A client has a part of an answer, and then the end of the connection; request.
-    AnswerCut = 6,
-    /// One side of a connection ends its sending; connection, side.
+    /// A client received a part of a response and then the end of the connection. Number: request.
+    ResponseTruncated = 6,
+    /// One side of a connection stops sending. Numbers: connection, side.
     SendingEnded = 7,
-    /// A process closes its side of a connection; connection, process, bytes that it had not read.
+    /// A process closes its side of a connection. Numbers: connection, process, count of unread bytes.
     ConnectionClosed = 8,
-    /// The main task of a balancer ended; balancer, start of it, whether it failed.
+    /// The main task of a balancer ended. Numbers: balancer, start of the balancer, whether it failed.
     BalancerEnded = 9,
-    /// A fault begins; [`crate::scenario::Fault::numbers`].
+    /// A fault begins. Numbers: [`crate::scenario::Fault::numbers`].
     FaultBegan = 10,
-    /// A fault ends; the same.
+    /// A fault ends. Numbers: [`crate::scenario::Fault::numbers`].
     FaultEnded = 11,
 }
 
-/// A sum of so many items, in their order.
+/// A checksum over a sequence of items, and their count.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Digest {
-    /// CRC-32C.
+    /// The CRC-32C of all items in order.
     pub sum: u32,
-    /// How many items.
+    /// The number of items.
     pub count: u64,
 }
 
@@ -57,27 +57,27 @@
     }
 }
 
-/// The trace of one run. Its text is kept only where somebody wants to read it.
+/// The trace of one run. Its text is kept only on request.
 #[derive(Default)]
 pub struct Trace {
     is_text_kept: bool,
-    /// The lines, if they are kept.
+    /// The lines; empty if the text is not kept.
     pub text: String,
-    /// The sum of the events alone.
+    /// The digest of the events.
     pub events: Digest,
-    /// The sum of all lines, those of logged messages too.
+    /// The digest of all lines, including logged messages.
     pub lines: Digest,
     line_buffer: String,
     item_buffer: Vec<u8>,
 }
 
 impl Trace {
-    /// An empty trace.
+    /// Creates an empty trace.
     pub fn new(is_text_kept: bool) -> Trace {
         Trace { is_text_kept, ..Trace::default() }
     }
 
-    /// Records an event. The numbers say all of it; the line is for readers.
+    /// Records an event. The numbers describe it completely; the line is for readers.
     pub fn event(&mut self, now: Micros, kind: EventKind, numbers: &[u64], line: Arguments) {
         self.item_buffer.clear();
         self.item_buffer.extend(now.to_le_bytes());
@@ -90,7 +90,7 @@
         self.record_line(now, line);
     }
 
-    /// Records a message that a program logs, which is no event.
+    /// Records a message that a program logs. It is not part of the digest of events.
     pub fn message(&mut self, now: Micros, line: Arguments) {
         self.record_line(now, line);
     }
--- a/crates/simulation/src/upstream.rs
+++ b/crates/simulation/src/upstream.rs
@@ -65,7 +65,7 @@
         open_connections: AtomicUsize::new(0),
     });
     while let Ok(stream) = listener.accept().await {
-        let is_full = server.has_fault(FaultKind::Few)
+        let is_full = server.has_fault(FaultKind::LimitConnections)
             && server.open_connections.load(Ordering::Relaxed) >= REDUCED_CONNECTION_LIMIT;
         if is_full {
             continue;
@@ -116,13 +116,13 @@
         let Some(duration) = admitted.filter(|_| !is_past_drain) else {
             return self.decline(stream, request_id, attempt).await;
         };
-        if self.has_fault(FaultKind::Fail) {
+        if self.has_fault(FaultKind::FailRequests) {
             return self.fail(stream, request_id, attempt).await;
         }
-        while self.has_fault(FaultKind::Hang) {
+        while self.has_fault(FaultKind::HangRequests) {
             stream.runtime.sleep_micros(20 * MS).await;
         }
-        if self.has_fault(FaultKind::Brink) {
+        if self.has_fault(FaultKind::RespondAtDeadline) {
             return self.respond_at_deadline(stream, &request, request_id, attempt).await;
         }
         // The effect happens at some point of the work.
@@ -157,11 +157,11 @@
             records.record_attempt(&mut stream.runtime.simulation.state().kernel, &arrival)?
         };
         if received.is_retry {
-            self.context.on_trigger_event(TriggerEvent::Retry, self.server_index);
+            self.context.on_trigger_event(TriggerEvent::RetryReceived, self.server_index);
         }
-        self.context.on_trigger_event(TriggerEvent::Sent, self.server_index);
+        self.context.on_trigger_event(TriggerEvent::AttemptReceived, self.server_index);
         if received.is_non_idempotent {
-            self.context.on_trigger_event(TriggerEvent::OrderSent, self.server_index);
+            self.context.on_trigger_event(TriggerEvent::NonIdempotentReceived, self.server_index);
         }
         Some(received)
     }
@@ -173,7 +173,7 @@
 
     /// How long the request takes from now on, with its time in the queue; None where it is declined.
     fn admit(&self, work: f64, key: Option<&str>) -> Option<Micros> {
-        if self.has_fault(FaultKind::Full) {
+        if self.has_fault(FaultKind::DeclineRequests) {
             return None;
         }
         let now = self.context.simulation.now();
--- a/crates/simulation/src/upstream/response.rs
+++ b/crates/simulation/src/upstream/response.rs
@@ -23,11 +23,11 @@
         let body = self.response_body(request_id, request_body);
         let is_streamed = body.len() > MAX_BUFFERED_BODY_BYTES;
         let whole = response("200 OK", "", &body);
-        if self.has_fault(FaultKind::Spoil) {
+        if self.has_fault(FaultKind::MalformedResponses) {
             return self.write_malformed(stream, whole, is_streamed).await;
         }
         stream.write(&whole).await?;
-        if self.has_fault(FaultKind::Rude) {
+        if self.has_fault(FaultKind::UnannouncedClose) {
             let stay_ms = stream.runtime.simulation.state().random_below(3);
             stream.runtime.sleep_micros(stay_ms * MS).await;
             return Ok(if stay_ms > 1 { ConnectionState::Open } else { ConnectionState::Closing });
--- a/crates/simulation/tests/runs.rs
+++ b/crates/simulation/tests/runs.rs
@@ -1,5 +1,5 @@
-//! Fixed seeds and kept scenarios break no rule, a seed is one history, each hard case is met by the scenario that aims
-//! at it, and each mutant is found.
+//! Tests that fixed seeds and kept scenarios break no rule, that a seed determines its run, that each hard
+//! case occurs in the scenario that aims at it, and that the checker finds each mutant.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -15,8 +15,8 @@
 use doorproxy_simulation::shrink::shrink;
 use expect_test::expect;
 
-/// Handles every item on all cores; the results are in the order of the items.
-fn on_all_cores<T: Sync, R: Send>(work: &[T], each: impl Fn(&T) -> R + Sync) -> Vec<R> {
+/// Calls `each` for every item, on all cores. Returns the results in the order of the items.
+fn map_on_all_cores<T: Sync, R: Send>(work: &[T], each: impl Fn(&T) -> R + Sync) -> Vec<R> {
     let (next, done) = (AtomicUsize::new(0), Mutex::new(BTreeMap::new()));
     let work_on_items = || {
         while let Some(item) = work.get(next.fetch_add(1, Ordering::Relaxed)) {
@@ -47,7 +47,7 @@
 #[test]
 fn fixed_seeds_break_no_rule() {
     let seeds: Vec<u64> = (0..300).collect();
-    let broken: Vec<String> = on_all_cores(&seeds, |&seed| {
+    let broken: Vec<String> = map_on_all_cores(&seeds, |&seed| {
         let report = run_scenario(&generator::generate_scenario(seed), None, false);
         report.violation.map(|found| format!("seed {seed}: {found:?}"))
     })
@@ -60,7 +60,7 @@
 #[test]
 fn fixed_seeds_with_sidecars_break_no_rule() {
     let seeds: Vec<u64> = (0..300).collect();
-    let broken = on_all_cores(&seeds, |&seed| {
+    let broken = map_on_all_cores(&seeds, |&seed| {
         let report = run_scenario(&generator::generate_sidecar_scenario(seed), None, false);
         report.violation.map(|found| format!("seed {seed}: {found:?}"))
     });
@@ -68,10 +68,10 @@
     assert_eq!(broken, Vec::<String>::new());
 }
 
-/// Each is what was left of a seed that broke a rule before the cause was fixed.
+/// Guards against the return of fixed bugs. Each scenario is shrunk from a seed that broke a rule.
 #[test]
 fn kept_scenarios_break_no_rule() {
-    let broken = on_all_cores(&load_scenarios("kept"), |(name, scenario)| {
+    let broken = map_on_all_cores(&load_scenarios("kept"), |(name, scenario)| {
         run_scenario(scenario, None, false).violation.map(|found| format!("{name}: {found:?}"))
     });
     let broken: Vec<String> = broken.into_iter().flatten().collect();
@@ -79,39 +79,40 @@
 }
 
 #[test]
-fn each_hard_case_is_met_and_breaks_no_rule() {
-    let verdicts = on_all_cores(&load_scenarios("cases"), |(name, scenario)| {
+fn each_hard_case_occurs_and_breaks_no_rule() {
+    let verdicts = map_on_all_cores(&load_scenarios("cases"), |(name, scenario)| {
         let report = run_scenario(scenario, None, false);
         let case = HardCase::ALL[name[..2].parse::<usize>().unwrap()].name();
         let count = report.coverage.hard_cases.0.get(case).copied().unwrap_or(0);
         let verdict = report.violation.map_or("no rule broken".to_string(), |found| format!("{found:?}"));
-        format!("{case}: {}, {verdict}\n", if count > 0 { "met" } else { "not met" })
+        format!("{case}: {}, {verdict}\n", if count > 0 { "occurred" } else { "did not occur" })
     });
     expect![[r#"
-        a drain notice in the tick of a retry: met, no rule broken
-        an at-most-once op times out and is answered later: met, no rule broken
-        an answer in the tick in which the time ends: met, no rule broken
-        a client's crossed close with its resend: met, no rule broken
-        a server dies between the last byte and the answer: met, no rule broken
-        a new id at an old address while a push connects: met, no rule broken
-        a list outage as a zone goes: met, no rule broken
-        SIGTERM during a storm: met, no rule broken
-        a balancer killed, its ops retried through another: met, no rule broken
-        all servers cold together: met, no rule broken
+        a drain notice at the time of a retry: occurred, no rule broken
+        a non-idempotent request times out and is answered later: occurred, no rule broken
+        an answer at the deadline: occurred, no rule broken
+        a close crosses a request, which the client sends again: occurred, no rule broken
+        a server dies between the last byte of a request and the answer: occurred, no rule broken
+        an address gets a new server while an attempt connects: occurred, no rule broken
+        a discovery outage together with the loss of a zone: occurred, no rule broken
+        SIGTERM during a request storm: occurred, no rule broken
+        a balancer is killed and its requests are retried through another: occurred, no rule broken
+        all servers warm up together: occurred, no rule broken
     "#]]
     .assert_eq(&verdicts.concat());
 }
 
 #[test]
-fn a_seed_is_one_history() {
+fn runs_of_a_seed_are_identical() {
     let seeds: Vec<u64> = (40..52).collect();
     let run = |&seed: &u64| run_scenario(&generator::generate_scenario(seed), None, true);
     let sequential: Vec<RunReport> = seeds.iter().map(run).collect();
     let traces =
         |reports: &[RunReport]| reports.iter().map(|report| report.trace.clone()).collect::<Vec<_>>();
     assert!(sequential.iter().all(|report| report.trace.lines().count() > 100));
-    assert!(traces(&sequential) == traces(&on_all_cores(&seeds, run)), "two runs of a seed differ");
-    // And in other processes, with other numbers of threads: the whole trace, log lines too, and the events.
+    assert!(traces(&sequential) == traces(&map_on_all_cores(&seeds, run)), "two runs of a seed differ");
+    // Other processes with other numbers of threads must produce the same events and the same trace,
+    // including log lines.
     let sums_of_process = |jobs: &str| {
         let folder = tempfile::tempdir().unwrap();
         let (events, lines) = (folder.path().join("events"), folder.path().join("lines"));
@@ -135,11 +136,13 @@
     assert_eq!(expected, sums_of_process("8"));
 }
 
-/// Seeds that a debug build runs in a few seconds, of those in the committed files.
+/// The seeds of the committed files that are checked. They are fewer than the files hold, to limit the time
+/// that a debug build needs.
 const SUMMED_SEEDS: std::ops::Range<u64> = 0..300;
 const SUMMED_SIDECAR_SEEDS: std::ops::Range<u64> = 0..100;
 
-/// Seeds whose events are not those of the committed file, as `seed sum count` of the file and of this program.
+/// Returns the seeds whose events differ from the committed file, each as `seed sum count` of the file and of
+/// this program.
 fn changed_seeds(
     file: &str,
     seeds: std::ops::Range<u64>,
@@ -149,36 +152,40 @@
     let committed = std::fs::read_to_string(path).unwrap();
     let committed: Vec<String> = committed.lines().map(String::from).collect();
     let seeds: Vec<u64> = seeds.collect();
-    let actual =
-        on_all_cores(&seeds, |&seed| format!("{seed} {}", run_scenario(&scenario(seed), None, false).events));
+    let actual = map_on_all_cores(&seeds, |&seed| {
+        format!("{seed} {}", run_scenario(&scenario(seed), None, false).events)
+    });
     assert!(committed.len() >= actual.len(), "{file} has {} seeds", committed.len());
     let both = committed.into_iter().zip(actual).map(|(committed, actual)| [committed, actual]);
     both.filter(|[committed, actual]| committed != actual).collect()
 }
 
-/// The sums cover events alone: times, parties and what happened, and no word of a log line or a trace. A change that is
-/// not to change behaviour leaves them as they are; one that is writes the file anew, by
-/// `cargo run --release -p doorproxy-simulation -- run --seeds 0..2000 --sums crates/simulation/tests/sums.txt`.
+/// Guards against unintended changes of behaviour. The sums cover the numbers of events alone, such as times,
+/// hosts and statuses, and not the text of log lines or traces. A change that is meant to alter behaviour
+/// rewrites the file with `cargo run --release -p doorproxy-simulation -- run --seeds 0..2000 --sums FILE`,
+/// where `FILE` is `crates/simulation/tests/sums.txt`.
 #[test]
-fn events_are_those_of_the_committed_sums() {
+fn events_match_the_committed_sums() {
     assert_eq!(
         changed_seeds("sums.txt", SUMMED_SEEDS, generator::generate_scenario),
         Vec::<[String; 2]>::new()
     );
 }
 
-/// The same with `--sidecar --seeds 0..100` and `sidecar-sums.txt`.
+/// Checks the same with sidecars. The file is rewritten with `--sidecar --seeds 0..100` and
+/// `sidecar-sums.txt`.
 #[test]
-fn events_before_sidecars_are_those_of_the_committed_sums() {
+fn events_with_sidecars_match_the_committed_sums() {
     let changed =
         changed_seeds("sidecar-sums.txt", SUMMED_SIDECAR_SEEDS, generator::generate_sidecar_scenario);
     assert_eq!(changed, Vec::<[String; 2]>::new());
 }
 
-/// A checker that cannot fail proves nothing: each mutant breaks a rule from outside, and is found and shrunk.
+/// Guards against a checker that misses violations: it must find every mutant, and shrinking must leave few
+/// faults.
 #[test]
 fn each_mutant_is_found() {
-    let found = on_all_cores(Mutant::ALL, |&mutant| {
+    let found = map_on_all_cores(Mutant::ALL, |&mutant| {
         let first = (0..500).find_map(|seed| {
             let scenario = generator::generate_scenario(seed);
             let rule = run_scenario(&scenario, Some(mutant), false).violation?.rule;
@@ -190,28 +197,28 @@
         format!("{}: {rule}, {is_small}\n", mutant.name())
     });
     expect![[r#"
-        order-again: repeated, small
-        token-late: repeated, small
-        token-astray: repeated, small
-        after-drain: drain, small
+        repeated-non-idempotent: repeated, small
+        repeat-after-window: repeated, small
+        repeat-outside-scope: repeated, small
+        attempt-after-drain: drain, small
         second-answer: second-answer, small
         no-answer: unanswered, small
-        other-answer: wrong-answer, small
-        cold-flood: cold, small
-        nack-after-run: nack-after-run, small
-        leak-op: leak, small
+        previous-answer: wrong-answer, small
+        slow-start-overload: cold, small
+        rejection-after-execution: nack-after-run, small
+        leaked-task: leak, small
         lost-wake-up: unanswered, small
-        after-answer: push-after-answer, small
-        altered: altered-op, small
-        after-ban: ban, small
-        twice-streamed: streamed-twice, small
-        cut-whole: wrong-answer, small
+        attempt-after-answer: push-after-answer, small
+        altered-request: altered-op, small
+        attempt-after-ejection: ban, small
+        streamed-twice: streamed-twice, small
+        truncated-answer: wrong-answer, small
     "#]]
     .assert_eq(&found.concat());
 }
 
 #[test]
-fn a_scenario_reads_as_it_was_written() {
+fn scenario_text_round_trips() {
     for seed in 0..200 {
         let scenario = generator::generate_scenario(seed);
         assert_eq!(Ok(&scenario), scenario.to_string().parse::<Scenario>().as_ref());
@@ -224,9 +231,9 @@
     ];
     let errors = faults.map(|text| text.parse::<Scenario>().unwrap_err().to_string());
     expect![[r#"
-        line 1: no fault: "at 1s kill server it for 1s": "at 1s kill server it for 1s"
-        line 1: no fault: "at 1 kill server 1 for 1s": "at 1 kill server 1 for 1s"
-        line 1: no fault: "on retry x drain server it for 1s": "on retry x drain server it for 1s"
-        line 1: ops a second expected: "rate 0""#]]
+        line 1: "at 1s kill server it for 1s": not a fault such as "at 1s kill server 0 for 2s"
+        line 1: "at 1 kill server 1 for 1s": not a fault such as "at 1s kill server 0 for 2s"
+        line 1: "on retry x drain server it for 1s": not a fault such as "at 1s kill server 0 for 2s"
+        line 1: "rate 0": value is not a rate; accepted are 0.1 to below 100000 requests per second"#]]
     .assert_eq(&errors.join("\n"));
 }
