--- a/crates/simulator-adapter/src/effects.rs
+++ b/crates/simulator-adapter/src/effects.rs
@@ -1,4 +1,4 @@
-//! Writes what a balancer decides as records of the reply.
+//! Encodes the effects of a balancer as records of the reply.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -8,21 +8,21 @@
 
 use crate::wire::{ReplyFrame, outgoing};
 
-/// The field of an attempt that stands for "no longer than the client stays", in seconds.
+/// The timeout in seconds of an attempt that may take as long as the client waits.
 const NO_ATTEMPT_TIMEOUT_SECONDS: f64 = 0.0;
-/// The field of a rejection that leaves the client without a time to wait, in seconds.
+/// The value in seconds of a rejection without a `Retry-After` time.
 const NO_RETRY_AFTER_SECONDS: f64 = 0.0;
-/// The only field of a watch of discovery.
+/// The value of the only field in a watch record.
 const WATCH: u8 = 1;
 
-/// The effects of one instance.
+/// Encodes the effects of one instance.
 pub struct WireEffects {
     instance: u32,
     reply: Rc<RefCell<ReplyFrame>>,
 }
 
 impl WireEffects {
-    /// Effects that are written into this reply, under the number of the instance.
+    /// Creates effects that are written to the reply under the instance's number.
     pub fn new(instance: u32, reply: Rc<RefCell<ReplyFrame>>) -> Self {
         WireEffects { instance, reply }
     }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,79 +1,79 @@
-//! What can be wrong with the input of the adapter, and where.
+//! The errors of the adapter, with the position of the fault in its input.
 
 use std::io;
 
 use doorproxy::settings::decode::SettingsError;
 use thiserror::Error;
 
-/// Why the adapter ends before the end of its input.
+/// The reason why the adapter exits before the end of its input.
 #[derive(Debug, Error)]
 pub enum WireError {
-    /// The bytes of a batch are not what the wire page says.
+    /// A batch does not follow the protocol.
     #[error("batch {batch}, byte {byte}: expected {expected}")]
     Malformed {
-        /// The number that the simulator gave to the batch; 0 until it has been read.
+        /// The simulator's number for the batch, or 0 until it has been read.
         batch: u32,
-        /// Offset in the frame.
+        /// The offset in the frame at which the fault was found.
         byte: usize,
-        /// What would be right there.
+        /// The valid input at this offset.
         #[source]
         expected: Expected,
     },
-    /// Standard input failed.
-    #[error("standard input could not be read: {0}")]
+    /// Reading standard input failed.
+    #[error("standard input: could not be read: {0}")]
     Read(#[source] io::Error),
-    /// Standard output failed.
+    /// Writing standard output failed.
     #[error("batch {batch}: the reply could not be written: {source}")]
     Write {
-        /// The batch that was answered.
+        /// The number of the batch that the reply belongs to.
         batch: u32,
-        /// The failure of the write.
+        /// The cause of the failure.
         source: io::Error,
     },
 }
 
-/// What would be right at the place of a fault.
+/// The valid input at the position of a fault.
 #[derive(Debug, Error)]
 pub enum Expected {
-    /// More bytes than the frame has left.
-    #[error("{field} of {length} bytes")]
+    /// A field that is longer than the rest of the frame.
+    #[error("{field} (length in bytes: {length})")]
     Field {
-        /// The field, with its article.
+        /// The name of the field.
         field: &'static str,
         /// Its length in bytes.
         length: usize,
     },
-    /// A number in place of an infinity or NaN.
+    /// A finite number; the frame has an infinity or NaN.
     #[error("a finite {0}")]
     Finite(&'static str),
-    /// One of the values that the protocol defines, or that were set before.
-    #[error("{valid} before here, not {found}")]
+    /// A value that the protocol defines or that an earlier record has set.
+    #[error("{valid}, not {found}, in the field before it")]
     Valid {
-        /// What a valid value is.
+        /// A description of the valid values.
         valid: &'static str,
-        /// The value that came.
+        /// The received value.
         found: u64,
     },
-    /// A smaller slot of an endpoint list.
-    #[error("a list number under {slots} before here, not {found}")]
+    /// The number of an existing slot for an endpoint list.
+    #[error("a list number under {slots}, not {found}, in the field before it")]
     ListNumber {
-        /// How many slots there are.
+        /// The number of slots.
         slots: u32,
-        /// The number that came.
+        /// The received number.
         found: u32,
     },
-    /// A class that the instance's settings define.
-    #[error("a request class of the settings before here")]
+    /// A request class that the instance's settings define.
+    #[error("a request class of the settings in the record before it")]
     KnownClass,
-    /// A length that the header of the batch fits into.
+    /// A frame length of at least the length of the batch header.
     #[error("a length of {min} or more, not {found}")]
     FrameLength {
         /// The length of the header in bytes.
         min: usize,
-        /// The length that came.
+        /// The received length.
         found: usize,
     },
-    /// No byte after the last record.
+    /// The end of the frame; there are bytes after the last record.
     #[error("the end of the frame")]
     EndOfFrame,
     /// Settings that can be decoded.
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One balancer that has started, and what each record means to it.
+//! Dispatches the records for a started instance to its balancer.
 
 use std::cell::RefCell;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -12,13 +12,13 @@
 use crate::records;
 use crate::wire::{BatchReader, ReplyFrame, discovery_scope, incoming, outgoing};
 
-/// A started instance, for the time of one record.
+/// A started instance while it handles one record.
 pub struct Instance<'a> {
-    /// Its number on the wire.
+    /// The instance's number in the protocol.
     pub number: u32,
-    /// Its decisions.
+    /// The instance's balancer.
     pub balancer: &'a mut Balancer<WireEffects>,
-    /// The lists that the simulator has set, by their numbers.
+    /// The endpoint lists that the simulator has set, by number.
     pub endpoint_lists: &'a [Option<Vec<EndpointUpdate>>],
     /// The reply to the current batch.
     pub reply: &'a RefCell<ReplyFrame>,
@@ -28,7 +28,7 @@
 
 /// # Errors
 ///
-/// Each method fails where the record is malformed; the balancer has not been called then.
+/// Each method fails if the record is malformed; the balancer is not called in that case.
 impl Instance<'_> {
     /// Reads the fields of a record and hands the event to the balancer.
     pub fn handle_event(&mut self, code: u8, reader: &mut BatchReader) -> Result<(), WireError> {
@@ -119,7 +119,7 @@
     }
 }
 
-/// Reads past a message of another instance: the decisions exchange none.
+/// Skips a message of another instance: the balancer's policy exchanges no messages.
 fn skip_peer_message(reader: &mut BatchReader) -> Result<(), WireError> {
     reader.u32("a sender")?;
     let length = reader.u16("the length of a message")?;
@@ -127,13 +127,13 @@
     Ok(())
 }
 
-/// Reports a panic as a crash of this one instance. What the call had written is taken back, so that the reply has
-/// no half record.
+/// Calls a function and reports a panic as a crash of this instance alone. The records that the call wrote
+/// are removed, so that the reply has no partial record.
 pub fn catch_crash(reply: &RefCell<ReplyFrame>, instance: u32, call: impl FnOnce()) {
     let position = reply.borrow().position();
     let Err(panic) = catch_unwind(AssertUnwindSafe(call)) else { return };
     let text = panic.downcast_ref::<String>().map(String::as_str);
-    let text = text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("panic without a text");
+    let text = text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("panic without a message");
     let mut reply = reply.borrow_mut();
     reply.truncate(position);
     reply.record(outgoing::CRASHED, instance).append_text(text);
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,6 +1,7 @@
-//! Runs balancers on the simulator's wire: batches on standard input, replies on standard output.
+//! Runs balancers for the simulator: reads batches on standard input and writes replies to standard output.
 //!
-//! Exits with 0 at a clean end of input, and with 1 and one line on standard error at the first fault.
+//! Exits with 0 at the end of input between two frames. At the first fault it writes one line to standard
+//! error and exits with 1.
 
 #![warn(missing_docs)]
 
@@ -15,7 +16,7 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    // A panic becomes the instance's crash record; the default hook would print it as well.
+    // A panic is reported as a crash record of its instance; the default hook would also print it.
     std::panic::set_hook(Box::new(|_| {}));
     match session::run(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/simulator-adapter/src/records.rs
+++ b/crates/simulator-adapter/src/records.rs
@@ -1,4 +1,4 @@
-//! Decodes the fields of incoming records into the events of a balancer.
+//! Decodes incoming records into events for a balancer.
 
 use doorproxy::effects::{AttemptOutcome, EndpointStatus, EndpointUpdate, FinishedAttempt, IncomingRequest};
 use doorproxy::ids::{
@@ -9,17 +9,17 @@
 use crate::error::WireError;
 use crate::wire::{BatchReader, COST_ESTIMATE_VALID};
 
-/// A load probe has finished.
-pub struct ReceivedLoadProbe {
-    /// The endpoint that was asked.
+/// A load probe that has finished.
+pub struct FinishedLoadProbe {
+    /// The endpoint that was probed.
     pub endpoint: EndpointId,
-    /// How the call ended.
+    /// The outcome of the call.
     pub outcome: AttemptOutcome,
-    /// The values that the endpoint reported, of any kind.
+    /// The reported values as received, which may be negative, infinite or NaN.
     pub report: Vec<f64>,
 }
 
-/// Decodes a request's arrival.
+/// Decodes a request that has arrived.
 pub fn decode_request(reader: &mut BatchReader) -> Result<IncomingRequest, WireError> {
     let request = RequestId(reader.u32("a request")?);
     let key = reader.u64("a key")?;
@@ -39,7 +39,7 @@
     })
 }
 
-/// Decodes the end of an attempt.
+/// Decodes an attempt that has finished.
 pub fn decode_finished_attempt(reader: &mut BatchReader) -> Result<FinishedAttempt, WireError> {
     let request = RequestId(reader.u32("a request")?);
     let attempt = AttemptNumber(reader.u16("the number of an attempt")?);
@@ -51,16 +51,16 @@
     Ok(FinishedAttempt { request, attempt, endpoint, request_finished, outcome, duration })
 }
 
-/// Decodes the end of a load probe.
-pub fn decode_load_probe(reader: &mut BatchReader) -> Result<ReceivedLoadProbe, WireError> {
+/// Decodes a load probe that has finished.
+pub fn decode_load_probe(reader: &mut BatchReader) -> Result<FinishedLoadProbe, WireError> {
     let endpoint = EndpointId(reader.u32("an endpoint")?);
     let outcome = decode_outcome(reader)?;
     reader.f64("duration")?;
     let report = decode_load_report(reader)?;
-    Ok(ReceivedLoadProbe { endpoint, outcome, report })
+    Ok(FinishedLoadProbe { endpoint, outcome, report })
 }
 
-/// Decodes one endpoint of a list.
+/// Decodes one entry of an endpoint list.
 pub fn decode_endpoint_update(reader: &mut BatchReader) -> Result<EndpointUpdate, WireError> {
     let kind = EndpointKindId(reader.u16("an endpoint kind")?);
     let endpoint = EndpointId(reader.u32("an endpoint")?);
@@ -98,6 +98,6 @@
 
 fn decode_load_report(reader: &mut BatchReader) -> Result<Vec<f64>, WireError> {
     let values = reader.u8("the length of a load report")?;
-    // The balancer judges values that are not finite: a report must not end the adapter.
+    // The balancer checks for values that are not finite: an invalid report must not stop the adapter.
     (0..values).map(|_| reader.f32_unchecked("a value of a load report")).collect()
 }
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -1,4 +1,4 @@
-//! Reads the batches, keeps the balancers and the endpoint lists between them, and answers each batch.
+//! Reads batches and writes a reply to each. The balancers and the endpoint lists are kept between batches.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -18,18 +18,18 @@
     BATCH_HEADER_BYTES, BatchReader, ENDPOINT_LIST_SLOTS, FRAME_HEADER_BYTES, ReplyFrame, incoming,
 };
 
-/// The state between batches.
+/// The state that is kept between batches.
 struct Session {
     balancers: BTreeMap<u32, Balancer<WireEffects>>,
     endpoint_lists: [Option<Vec<EndpointUpdate>>; ENDPOINT_LIST_SLOTS as usize],
     reply: Rc<RefCell<ReplyFrame>>,
 }
 
-/// Serves batches until the end of input.
+/// Replies to batches until the end of input.
 ///
 /// # Errors
 ///
-/// Ends with the first batch that is malformed, and where input or output fails.
+/// Fails at the first malformed batch, or if reading or writing fails.
 pub fn run(input: &mut impl Read, output: &mut impl Write) -> Result<(), WireError> {
     let reply = Rc::new(RefCell::new(ReplyFrame::new()));
     let mut session =
@@ -47,7 +47,7 @@
     Ok(())
 }
 
-/// Reads the next frame whole; false at a clean end of input.
+/// Reads the next whole frame. Returns false if the input ends before it.
 fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, WireError> {
     frame.clear();
     input.take(FRAME_HEADER_BYTES as u64).read_to_end(frame).map_err(WireError::Read)?;
@@ -61,18 +61,18 @@
         let expected = Expected::FrameLength { min: BATCH_HEADER_BYTES, found: length };
         return Err(WireError::Malformed { batch, byte: size_of::<u32>(), expected });
     }
-    // Grows with what arrives: a corrupted length must not reserve gigabytes.
+    // The buffer grows as bytes arrive, so that a corrupted length can't reserve gigabytes.
     let body_length = (length - FRAME_HEADER_BYTES) as u64;
     input.take(body_length).read_to_end(frame).map_err(WireError::Read)?;
     if frame.len() < length {
-        let expected = Expected::Field { field: "a frame", length };
+        let expected = Expected::Field { field: "the whole frame", length };
         return Err(WireError::Malformed { batch, byte: frame.len(), expected });
     }
     Ok(true)
 }
 
 impl Session {
-    /// Returns the number of the batch.
+    /// Handles every record of a batch and returns the batch's number.
     fn handle_batch(&mut self, frame: &[u8]) -> Result<u32, WireError> {
         let mut header = BatchReader::new(frame, 0, 0);
         let batch = header.u32("the number of the batch")?;
@@ -93,7 +93,7 @@
         if code == incoming::SET_ENDPOINT_LIST {
             return self.set_endpoint_list(reader);
         }
-        // Refused before the instance is read, so that the error names the byte after the code.
+        // The code is checked before the instance is read, so that the error names the byte after the code.
         if !(incoming::REQUEST_ABANDONED..=incoming::LOAD_PROBE_FINISHED).contains(&code) {
             return Err(reader.invalid("a known code", code));
         }
@@ -102,7 +102,7 @@
             return self.start_instance(reader, instance);
         }
         let Some(balancer) = self.balancers.get_mut(&instance) else {
-            return Err(reader.invalid("an instance that has started", instance));
+            return Err(reader.invalid("a started instance", instance));
         };
         if code == incoming::STOP_INSTANCE {
             self.balancers.remove(&instance);
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,34 +1,34 @@
-//! The frames of the simulator's wire: their codes, checked reads of a batch, and the reply frame. Numbers are
-//! big-endian.
+//! The frames of the simulator's protocol: record codes, a checked reader for batches, and the reply frame.
+//! Numbers are big-endian.
 
 use crate::error::{Expected, WireError};
 
-/// The number and the length of a frame stand before everything else, in a batch and in a reply.
+/// The header of batches and replies: the batch's number (4 bytes) and the frame's length (4 bytes).
 pub const FRAME_HEADER_BYTES: usize = 8;
-/// The frame header, the count of records (4 bytes) and the clock (8 bytes).
+/// The header of a batch: the frame header, the number of records (4 bytes) and the clock (8 bytes).
 pub const BATCH_HEADER_BYTES: usize = 20;
-/// How many endpoint lists the simulator can keep set at one time.
+/// The number of endpoint lists that can be set at one time.
 pub const ENDPOINT_LIST_SLOTS: u32 = 16;
-/// Bit of a request: its cost estimate counts.
+/// The flag of a request whose cost estimate is valid.
 pub const COST_ESTIMATE_VALID: u8 = 1;
 
 /// Codes of the records that the simulator sends.
 pub mod incoming {
-    /// The client of a request has gone.
+    /// The client has abandoned a request.
     pub const REQUEST_ABANDONED: u8 = 16;
     /// An instance starts.
     pub const START_INSTANCE: u8 = 17;
     /// A message of another instance.
     pub const PEER_MESSAGE: u8 = 18;
-    /// An endpoint list is set; the only record without an instance.
+    /// An endpoint list is set; this is the only record without an instance.
     pub const SET_ENDPOINT_LIST: u8 = 19;
-    /// Discovery has answered.
+    /// Discovery has responded, or a call to it has failed.
     pub const DISCOVERY: u8 = 20;
     /// A timer is due.
     pub const TIMER: u8 = 21;
-    /// An endpoint has begun to stream its answer.
+    /// An endpoint has started to stream its response.
     pub const STREAM_STARTED: u8 = 22;
-    /// An instance ends.
+    /// An instance stops.
     pub const STOP_INSTANCE: u8 = 23;
     /// An attempt has finished.
     pub const ATTEMPT_FINISHED: u8 = 24;
@@ -38,15 +38,15 @@
     pub const LOAD_PROBE_FINISHED: u8 = 26;
 }
 
-/// What an answer of discovery covers.
+/// The scopes of a response from discovery.
 pub mod discovery_scope {
-    /// Only the endpoints that changed.
+    /// The endpoints that have changed.
     pub const UPDATES: u8 = 0;
-    /// Every endpoint, on request.
+    /// Every endpoint, as the response to a call.
     pub const SNAPSHOT: u8 = 2;
-    /// The call failed.
+    /// No endpoints: the call has failed.
     pub const FAILED: u8 = 3;
-    /// Every endpoint, pushed.
+    /// Every endpoint, pushed by discovery.
     pub const PUSHED_SNAPSHOT: u8 = 4;
 }
 
@@ -58,56 +58,58 @@
     pub const REJECT: u8 = 17;
     /// A request has failed.
     pub const FAIL: u8 = 18;
-    /// An attempt is given up.
+    /// An attempt is cancelled.
     pub const CANCEL_ATTEMPT: u8 = 19;
     /// A timer is set.
     pub const SET_TIMER: u8 = 20;
-    /// An endpoint is asked for its load.
+    /// A load probe is sent to an endpoint.
     pub const PROBE_LOAD: u8 = 21;
     /// Idle connections to an endpoint are closed.
     pub const CLOSE_IDLE_CONNECTIONS: u8 = 22;
-    /// A line for the log.
+    /// A line is logged.
     pub const LOG: u8 = 24;
     /// An instance has crashed.
     pub const CRASHED: u8 = 25;
-    /// Discovery is watched.
+    /// The balancer starts to watch discovery.
     pub const WATCH_ENDPOINTS: u8 = 26;
 }
 
-/// Reads the fields of one batch in order, and says where a fault is.
+/// Reads the fields of one batch in order, and reports the position of a fault.
 pub struct BatchReader<'a> {
     bytes: &'a [u8],
     position: usize,
     batch: u32,
 }
 
-/// Each read takes the name of its field, with its article, for the error.
+/// Each read takes the name of its field for the error message. The name includes its article, except for
+/// floating-point numbers.
 ///
 /// # Errors
 ///
-/// Every read fails with [`WireError::Malformed`] where the frame ends before the field does.
+/// Every read fails with [`WireError::Malformed`] if the frame ends before the field does. Reads of finite
+/// numbers also fail for an infinity or NaN.
 impl<'a> BatchReader<'a> {
-    /// A reader of the batch of that number, from `position` in its frame on.
+    /// Creates a reader that starts at `position` in the frame of a batch.
     pub fn new(bytes: &'a [u8], position: usize, batch: u32) -> Self {
         BatchReader { bytes, position, batch }
     }
 
-    /// A fault at the current position.
+    /// Creates an error at the current position.
     pub fn error(&self, expected: impl Into<Expected>) -> WireError {
         WireError::Malformed { batch: self.batch, byte: self.position, expected: expected.into() }
     }
 
-    /// A field that was read just now has a value that is not valid.
+    /// Creates an error for an invalid value in the field that was read last.
     pub fn invalid(&self, valid: &'static str, found: impl Into<u64>) -> WireError {
         self.error(Expected::Valid { valid, found: found.into() })
     }
 
-    /// Whether the whole frame has been read.
+    /// Returns whether the whole frame has been read.
     pub fn is_at_end(&self) -> bool {
         self.position == self.bytes.len()
     }
 
-    /// The next bytes, as they are.
+    /// Reads `length` bytes.
     pub fn take_bytes(&mut self, length: usize, field: &'static str) -> Result<&'a [u8], WireError> {
         let end = self.position.checked_add(length).filter(|&end| end <= self.bytes.len());
         let end = end.ok_or_else(|| self.error(Expected::Field { field, length }))?;
@@ -122,38 +124,38 @@
         Ok(array)
     }
 
-    /// One byte.
+    /// Reads an integer of 1 byte.
     pub fn u8(&mut self, field: &'static str) -> Result<u8, WireError> {
         Ok(self.take_array::<1>(field)?[0])
     }
 
-    /// An integer of 2 bytes.
+    /// Reads an integer of 2 bytes.
     pub fn u16(&mut self, field: &'static str) -> Result<u16, WireError> {
         self.take_array(field).map(u16::from_be_bytes)
     }
 
-    /// An integer of 4 bytes.
+    /// Reads an integer of 4 bytes.
     pub fn u32(&mut self, field: &'static str) -> Result<u32, WireError> {
         self.take_array(field).map(u32::from_be_bytes)
     }
 
-    /// An integer of 8 bytes.
+    /// Reads an integer of 8 bytes.
     pub fn u64(&mut self, field: &'static str) -> Result<u64, WireError> {
         self.take_array(field).map(u64::from_be_bytes)
     }
 
-    /// A number of 4 bytes, which has to be finite.
+    /// Reads a floating-point number of 4 bytes, which must be finite.
     pub fn f32(&mut self, field: &'static str) -> Result<f64, WireError> {
         let value = self.f32_unchecked(field)?;
         self.finite(value, field)
     }
 
-    /// A number of 4 bytes, finite or not.
+    /// Reads a floating-point number of 4 bytes, which may be an infinity or NaN.
     pub fn f32_unchecked(&mut self, field: &'static str) -> Result<f64, WireError> {
         self.take_array(field).map(|bytes| f32::from_be_bytes(bytes).into())
     }
 
-    /// A number of 8 bytes, which has to be finite.
+    /// Reads a floating-point number of 8 bytes, which must be finite.
     pub fn f64(&mut self, field: &'static str) -> Result<f64, WireError> {
         let value = f64::from_be_bytes(self.take_array(field)?);
         self.finite(value, field)
@@ -164,44 +166,44 @@
     }
 }
 
-/// The reply to one batch, written as the decisions are made.
+/// The reply to one batch. Records are appended as the balancers decide.
 pub struct ReplyFrame(Vec<u8>);
 
 impl ReplyFrame {
-    /// A reply without records.
+    /// Creates a reply without records.
     pub fn new() -> Self {
         ReplyFrame(vec![0; FRAME_HEADER_BYTES])
     }
 
-    /// Begins a record of an instance; its fields are appended to what this returns.
+    /// Starts a record of an instance and returns the frame, to append the record's fields.
     pub fn record(&mut self, code: u8, instance: u32) -> &mut Self {
         self.0.push(code);
         self.append(&instance.to_be_bytes())
     }
 
-    /// Appends a field as it is.
+    /// Appends the bytes of a field.
     pub fn append(&mut self, bytes: &[u8]) -> &mut Self {
         self.0.extend_from_slice(bytes);
         self
     }
 
-    /// Appends a text and its length, and leaves out what is past the longest that the wire can carry.
+    /// Appends the length of a text and the text, cut to the 65,535 bytes that the length field can express.
     pub fn append_text(&mut self, text: &str) {
         let kept = &text.as_bytes()[..text.len().min(usize::from(u16::MAX))];
         self.append(&(kept.len() as u16).to_be_bytes()).append(kept);
     }
 
-    /// The length so far, for [`ReplyFrame::truncate`].
+    /// Returns the current length, for [`ReplyFrame::truncate`].
     pub fn position(&self) -> usize {
         self.0.len()
     }
 
-    /// Takes back what was written after the position.
+    /// Removes everything after a position.
     pub fn truncate(&mut self, position: usize) {
         self.0.truncate(position);
     }
 
-    /// The whole frame; the buffer stays, for the next batch.
+    /// Writes the frame header and returns the whole frame. The buffer is kept for the next batch.
     pub fn finish(&mut self, batch: u32) -> &[u8] {
         let length = self.0.len() as u32;
         self.0[..4].copy_from_slice(&batch.to_be_bytes());
@@ -209,7 +211,7 @@
         &self.0
     }
 
-    /// Takes back every record.
+    /// Removes every record.
     pub fn clear(&mut self) {
         self.0.truncate(FRAME_HEADER_BYTES);
     }
--- a/crates/simulator-adapter/tests/frames.rs
+++ b/crates/simulator-adapter/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Feeds hand-written frames to the built adapter.
+//! Sends hand-written frames to the adapter's binary and checks its replies.
 
 use std::fmt::Write as _;
 use std::io::Write;
@@ -7,9 +7,12 @@
 use expect_test::expect;
 
 const SETTINGS: &str = "categories.count=1\ncategories.0.benefit=1\ncategories.0.semantics=pure\n\
-    categories.0.target_latency=0.5\ncategories.0.ttl=1.5\ndiscovery=pushed\nn_instances=2\nordinal=0\nlimits.max_pushes=3\n\
-    limits.second_copies=true\nlimits.cancelling=false\nlimits.retry_after=false\nlimits.connect_timeout=0.25\nobligations.ask_within=10\n\
-    obligations.cold=10\nobligations.cold_from=0.2\nobligations.fall=2\nobligations.fall_multiple=2.5\nunheard.of=7\n";
+    categories.0.target_latency=0.5\ncategories.0.ttl=1.5\ndiscovery=pushed\nn_instances=2\nordinal=0\n\
+    limits.max_pushes=3\n\
+    limits.second_copies=true\nlimits.cancelling=false\nlimits.retry_after=false\n\
+    limits.connect_timeout=0.25\nobligations.ask_within=10\n\
+    obligations.cold=10\nobligations.cold_from=0.2\nobligations.fall=2\n\
+    obligations.fall_multiple=2.5\nunheard.of=7\n";
 
 fn frame(number: u32, records: &[Vec<u8>]) -> Vec<u8> {
     let body = records.concat();
@@ -23,7 +26,7 @@
     [&[17, 0, 0, 0, 3][..], &7u64.to_be_bytes(), &length.to_be_bytes(), settings.as_bytes()].concat()
 }
 
-/// A list of one ready endpoint, number 9.
+/// Encodes an endpoint list of one ready endpoint with the ID 9.
 fn endpoint_list_record() -> Vec<u8> {
     let weight = 1.0f32.to_be_bytes();
     [&[19, 0, 0, 0, 2, 0, 0, 0, 1, 0, 0, 0, 0, 0, 9][..], &weight, &[3, 0, 0], &[0; 8], &[0, 1]].concat()
@@ -38,7 +41,8 @@
     [&[25, 0, 0, 0, instance, 0, 0, 0, 5][..], &[0; 8], &[0, 0, 0, 0], &timeout, &[0], &[0; 8]].concat()
 }
 
-/// The reply in hexadecimal, a frame a line, then how the adapter finished.
+/// Returns the replies in hexadecimal, one frame per line, then the adapter's exit code and its standard
+/// error.
 fn run_adapter(input: &[u8]) -> String {
     let mut child = Command::new(env!("CARGO_BIN_EXE_doorproxy-drill"))
         .stdin(Stdio::piped())
@@ -46,26 +50,27 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // An adapter that refuses the input may have closed its end already.
+    // An adapter that rejects the input may exit before all of it is written.
     let _ = child.stdin.take().expect("a pipe").write_all(input);
-    let finished = child.wait_with_output().expect("the adapter ends");
+    let finished = child.wait_with_output().expect("the adapter exits");
     let mut output = String::new();
     let mut rest = &finished.stdout[..];
     while let Some(length) = rest.get(4..8) {
         let length = u32::from_be_bytes(length.try_into().expect("four bytes")) as usize;
         for byte in &rest[..length] {
-            write!(output, "{byte:02x}").expect("a string takes all");
+            write!(output, "{byte:02x}").expect("writing to a string succeeds");
         }
         output.push('\n');
         rest = &rest[length..];
     }
     let code = finished.status.code().expect("an exit code");
-    write!(output, "exit {code} {}", String::from_utf8_lossy(&finished.stderr)).expect("a string takes all");
+    write!(output, "exit {code} {}", String::from_utf8_lossy(&finished.stderr))
+        .expect("writing to a string succeeds");
     output
 }
 
 #[test]
-fn a_stream_of_frames_is_answered_and_its_end_is_a_clean_exit() {
+fn frames_are_answered_and_the_end_of_input_exits_with_0() {
     let start = frame(1, &[start_record(SETTINGS), endpoint_list_record(), snapshot_record(2)]);
     expect![[r#"
         0000000100000008
@@ -76,7 +81,7 @@
 }
 
 #[test]
-fn a_bad_frame_ends_with_one_plain_line() {
+fn malformed_frame_exits_with_1_and_one_error_line() {
     let valid =
         frame(1, &[start_record(SETTINGS), endpoint_list_record(), snapshot_record(2), request_record(3)]);
     let mut with_missing_record = valid.clone();
@@ -95,26 +100,26 @@
     .map(|input| run_adapter(input))
     .collect();
     expect![[r#"
-        exit 1 doorproxy-drill: batch 1, byte 543: expected a frame of 546 bytes
-        exit 1 doorproxy-drill: batch 0, byte 4: expected the length of the frame of 4 bytes
-        exit 1 doorproxy-drill: batch 1, byte 546: expected the code of a record of 1 bytes
-        exit 1 doorproxy-drill: batch 2, byte 21: expected a known code before here, not 99
-        exit 1 doorproxy-drill: batch 3, byte 25: expected an instance that has started before here, not 4
-        exit 1 doorproxy-drill: batch 4, byte 476: expected a list that was set before here, not 2
+        exit 1 doorproxy-drill: batch 1, byte 543: expected the whole frame (length in bytes: 546)
+        exit 1 doorproxy-drill: batch 0, byte 4: expected the length of the frame (length in bytes: 4)
+        exit 1 doorproxy-drill: batch 1, byte 546: expected the code of a record (length in bytes: 1)
+        exit 1 doorproxy-drill: batch 2, byte 21: expected a known code, not 99, in the field before it
+        exit 1 doorproxy-drill: batch 3, byte 25: expected a started instance, not 4, in the field before it
+        exit 1 doorproxy-drill: batch 4, byte 476: expected a list that was set, not 2, in the field before it
         exit 1 doorproxy-drill: batch 5, byte 438: expected limits.max_pushes to be set
         exit 1 doorproxy-drill: batch 6, byte 461: expected a valid value for n_instances, not "many"
     "#]]
     .assert_eq(&output.concat());
 }
 
-/// A load report of one value.
+/// Encodes a finished load probe that reported one value.
 fn load_probe_record(endpoint: u8, outcome: u8, load: f32) -> Vec<u8> {
     let head = [26, 0, 0, 0, 3, 0, 0, 0, endpoint, 0, outcome];
     [&head[..], &[0; 8], &[1], &load.to_be_bytes()].concat()
 }
 
 #[test]
-fn odd_failed_and_unknown_probe_results_do_no_harm() {
+fn invalid_failed_and_unknown_probe_results_are_ignored() {
     let settings = format!(
         "{SETTINGS}report.source=probe\nreport.fields=active\nlimits.probes=true\nprices.probe=0.001\n"
     );
