--- a/crates/simulation/src/http.rs
+++ b/crates/simulation/src/http.rs
@@ -1,6 +1,6 @@
-//! HTTP/1.1 messages as test endpoints and clients read and write them, by RFC 9112 as far as they need it.
+//! Reads and writes HTTP/1.1 messages for test endpoints and clients: the subset of RFC 9112 that they need.
 //!
-//! This is not the balancer's parser, so that an error in one does not hide in the other.
+//! The balancer's parser isn't used here, because a bug in a shared parser would go unnoticed.
 
 use std::future::poll_fn;
 use std::io;
@@ -12,39 +12,40 @@
 use crate::stream::SimulatedStream;
 use crate::time::Micros;
 
-/// The number of reads is part of a history, and so is how much each may take.
+/// The maximum number of bytes of one read. A change of this value changes the reads, and with them the
+/// events of every seed.
 const READ_BUFFER_BYTES: usize = 4096;
 
-/// A whole message.
+/// A complete message.
 pub struct Message {
-    /// The request line or the status line.
+    /// The request line or status line.
     pub start_line: String,
     headers: Vec<(String, String)>,
-    /// The bytes after the head.
+    /// The message body.
     pub body: Vec<u8>,
-    /// When its first byte was sent.
+    /// The time at which its first byte was sent.
     pub sent_at: Micros,
 }
 
 impl Message {
-    /// The first value of a header.
+    /// Returns the first value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         let header = self.headers.iter().find(|(other, _)| other.eq_ignore_ascii_case(name));
         header.map(|(_, value)| value.as_str())
     }
 
-    /// The first value of a header, if it is a whole number.
+    /// Returns the first value of a header as a non-negative integer, if it is one.
     pub fn numeric_header(&self, name: &str) -> Option<u64> {
         self.header(name)?.parse().ok()
     }
 
-    /// The status of a response; 0 where it cannot be read.
+    /// Returns the status of a response, or 0 if it can't be parsed.
     pub fn status(&self) -> u16 {
         self.start_line.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
     }
 }
 
-/// Reads messages one after the other from a connection.
+/// Reads consecutive messages from a connection.
 #[derive(Default)]
 pub struct MessageReader {
     buffer: Vec<u8>,
@@ -53,21 +54,22 @@
 }
 
 impl MessageReader {
-    /// Whether the head of a message has been read and its body has not; to be read while the reader is borrowed.
+    /// Returns a flag that is true while the body of a message is being read. It can be read while the reader
+    /// is borrowed.
     pub fn in_body(&self) -> Arc<AtomicBool> {
         self.in_body.clone()
     }
 
-    /// Bytes have come that belong to no message yet.
+    /// Returns whether there are bytes that were received but do not belong to a returned message.
     pub fn has_buffered_bytes(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// The next message; None where the connection ended between two messages.
+    /// Returns the next message, or `None` if the connection ended between two messages.
     ///
     /// # Errors
     ///
-    /// Fails where the connection ends within a message, is reset, or brings a transfer encoding.
+    /// Fails if the connection ends within a message or is reset, or if the message has a transfer encoding.
     pub async fn next_message(&mut self, stream: &SimulatedStream) -> io::Result<Option<Message>> {
         let Some(head_length) = self.fill_head(stream).await? else { return Ok(None) };
         let mut message = self.take_head(head_length);
@@ -86,7 +88,8 @@
         Ok(Some(message))
     }
 
-    /// Reads until the buffer has a whole head, and returns its length. None at an end before it.
+    /// Reads until the buffer has a complete head and returns its length, or `None` if the connection ended
+    /// before it.
     async fn fill_head(&mut self, stream: &SimulatedStream) -> io::Result<Option<usize>> {
         loop {
             if let Some(index) = self.buffer.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
@@ -102,7 +105,7 @@
         }
     }
 
-    /// Takes the head from the buffer.
+    /// Removes the head from the buffer and returns it as a message without a body.
     fn take_head(&mut self, length: usize) -> Message {
         let head = String::from_utf8_lossy(&self.buffer[..length]).into_owned();
         let mut lines = head.trim_end().split("\r\n");
@@ -115,12 +118,12 @@
         Message { start_line, headers, body: Vec::new(), sent_at: self.sent_at }
     }
 
-    /// Reads once; false at the end of the connection.
+    /// Reads once into the buffer. Returns false at the end of the connection.
     async fn fill_buffer(&mut self, stream: &SimulatedStream) -> io::Result<bool> {
         let mut bytes = [0; READ_BUFFER_BYTES];
         let was_empty = self.buffer.is_empty();
         let (read, sent_at) = poll_fn(|cx| {
-            // The network knows when a byte was sent only until it is read.
+            // The time must be read first: the network forgets it once the bytes are read.
             let sent_at = stream.runtime.simulation.state().network.next_chunk_sent_at(stream.socket);
             let read = stream.poll_recv(cx, &mut bytes);
             read.map_ok(|read| (read, sent_at))
@@ -134,7 +137,7 @@
     }
 }
 
-/// A response with a body; `headers` are whole lines.
+/// Encodes a response. `headers` are complete lines, each with its CRLF.
 pub fn response(status: &str, headers: &str, body: &[u8]) -> Vec<u8> {
     let mut bytes =
         format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n", body.len()).into_bytes();
--- a/crates/simulation/src/kernel.rs
+++ b/crates/simulation/src/kernel.rs
@@ -9,25 +9,25 @@
 use crate::time::Micros;
 use crate::trace::{EventKind, Trace};
 
-/// Number of a simulated process; a restart of a node is a new process.
+/// The number of a simulated process. A restarted node is a new process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ProcessId(pub u32);
 
-/// A machine of the simulated network.
+/// The number of a host in the simulated network.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HostId(pub u32);
 
-/// Which end of a connection.
+/// A side of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Side {
-    /// The one that connected.
+    /// The side that connects.
     Connector = 0,
-    /// The one that accepted.
+    /// The side that accepts.
     Acceptor = 1,
 }
 
 impl Side {
-    /// The other end.
+    /// Returns the other side.
     pub fn peer(self) -> Side {
         match self {
             Side::Connector => Side::Acceptor,
@@ -36,55 +36,55 @@
     }
 }
 
-/// One end of a connection.
+/// Identifies one side of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SocketId {
-    /// Number of the connection, in the order in which they were asked for.
+    /// The number of the connection. Connections are numbered in the order in which they are started.
     pub connection: u64,
-    /// Which end of it.
+    /// The side of the connection.
     pub side: Side,
 }
 
 impl SocketId {
-    /// The other end.
+    /// Returns the socket of the other side.
     pub fn peer(self) -> SocketId {
         SocketId { connection: self.connection, side: self.side.peer() }
     }
 }
 
-/// Something that is due at a time.
+/// An event that is scheduled for a virtual time.
 pub enum Event {
-    /// A timer of a task.
+    /// A timer of a task expires.
     Wake(Waker),
-    /// A task was ready while its process was stalled.
+    /// A task continues that became ready while its process was stalled.
     Resume(u64),
-    /// A segment may have arrived at this socket.
+    /// A segment may arrive at this socket.
     Arrival(SocketId),
 }
 
-/// The place of an event in the queue: its time, then the order in which events were scheduled.
+/// The key that orders events in the queue: by time, then by the order in which they were scheduled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EventKey {
-    /// When it is due.
+    /// The time at which the event is due.
     pub at: Micros,
     sequence: u64,
 }
 
-/// What every part of a run shares. One seed is one history, so nothing here reads the clock or the random numbers of
-/// the machine.
+/// The clock, the random numbers, the events and the trace that every part of a run shares. A seed must
+/// always give the same run, so the machine's clock and random numbers are not used.
 pub struct Kernel {
     /// The virtual time.
     pub now: Micros,
-    /// The generator that tasks, network and endpoints all draw from.
+    /// The random number generator that tasks, network and endpoints share.
     pub rng: Pcg,
-    /// What happened so far.
+    /// The trace of the run so far.
     pub trace: Trace,
     pub(crate) events: BTreeMap<EventKey, Event>,
     last_sequence: u64,
 }
 
 impl Kernel {
-    /// A kernel at time 0. The text of the trace is kept only on request.
+    /// Creates a kernel at time 0. The text of the trace is kept only if `keeps_trace_text` is set.
     pub fn new(seed: u64, keeps_trace_text: bool) -> Kernel {
         Kernel {
             now: 0,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Puts an event behind those that are due at the same time.
+    /// Schedules an event, after the events that are already due at the same time.
     pub fn schedule(&mut self, at: Micros, event: Event) -> EventKey {
         self.last_sequence += 1;
         let key = EventKey { at: at.max(self.now), sequence: self.last_sequence };
@@ -103,23 +103,23 @@
         key
     }
 
-    /// A whole number from 0 up to, but not including, the limit.
+    /// Draws an integer from 0 up to, but not including, the limit.
     pub fn random_below(&mut self, limit: u64) -> u64 {
         random_below(&mut self.rng, limit)
     }
 
-    /// Records an event, by numbers and by a line for readers.
+    /// Records an event in the trace, with its numbers and a readable line.
     pub fn record_event(&mut self, kind: EventKind, numbers: &[u64], line: Arguments) {
         self.trace.event(self.now, kind, numbers, line);
     }
 
-    /// Records a message that a program logs.
+    /// Records a line that a process logs.
     pub fn record_log(&mut self, line: Arguments) {
         self.trace.message(self.now, line);
     }
 }
 
-/// A whole number from 0 up to, but not including, the limit; 0 without a draw where the limit is 0.
+/// Draws an integer from 0 up to, but not including, the limit. Returns 0 without a draw if the limit is 0.
 pub fn random_below(rng: &mut Pcg, limit: u64) -> u64 {
     if limit == 0 { 0 } else { (u64::from(rng.next_u32()) * limit) >> 32 }
 }
--- a/crates/simulation/src/limits.rs
+++ b/crates/simulation/src/limits.rs
@@ -1,20 +1,21 @@
-//! What the configuration asks of balancers, and what the checker therefore holds them to.
+//! The limits that balancers are configured with and that the checker enforces.
 
 use crate::time::{MS, Micros, SECOND};
 
-/// Every limit of time is so much longer on a network.
+/// The tolerance for network delays, which is added to time limits.
 pub const NETWORK_TOLERANCE: Micros = 50 * MS;
-/// Between a decision and its first byte lie no more than the polls of a few tasks.
+/// The longest time between a decision and its first byte. Only polls of a few tasks lie between them.
 pub const MAX_DECISION_TO_WRITE: Micros = MS;
-/// After a notice that an endpoint drains, or an order to eject it, attempts may still go there for so long.
+/// The time for which attempts may still go to an endpoint after a drain notice or a manual ejection.
 pub const DRAIN_GRACE: Micros = SECOND;
-/// The fraction of its capacity that an endpoint has when it starts.
+/// The fraction of its full capacity that an endpoint has when it starts.
 pub const SLOW_START_INITIAL_FRACTION: f64 = 0.2;
-/// How long it takes an endpoint to reach its full capacity.
+/// The time after which a started endpoint has its full capacity.
 pub const WARM_UP_TIME: Micros = 6 * SECOND;
-/// In any window, a warming endpoint may get so many times what it can do.
+/// The maximum ratio of the work sent to a warming endpoint in an overload window to its capacity in that
+/// window.
 pub const OVERLOAD_FACTOR: f64 = 2.5;
-/// The length of that window.
+/// The length of the overload window.
 pub const OVERLOAD_WINDOW: Micros = 1500 * MS;
-/// Attempts of one request.
+/// The maximum number of attempts of one request.
 pub const MAX_ATTEMPTS: usize = 3;
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,7 +1,7 @@
-//! TCP between hosts that can lose power or lose sight of each other.
+//! A simulated TCP network whose hosts can lose power and whose paths can be partitioned.
 //!
-//! The network owns every connection and all that is on its way, and decides when and in which pieces it arrives. It
-//! does not look into the bytes.
+//! The network owns every connection and every segment in transit. It decides when segments arrive and how
+//! bytes are split, and never reads their content.
 
 mod connection;
 mod delivery;
@@ -15,30 +15,30 @@
 use crate::time::{MS, Micros};
 use connection::{Connection, Segment, Socket};
 
-/// A lost segment arrives within this once its path works again.
+/// The longest delay of a retransmitted segment after its path works again, in addition to 1 ms.
 const MAX_RETRANSMIT_DELAY: Micros = 200 * MS;
 
 /// The state of the network.
 #[derive(Default)]
 pub struct Network {
-    /// One way, without jitter.
+    /// The one-way latency, without jitter.
     pub latency: Micros,
-    /// Up to so much is added to each segment's latency.
+    /// The maximum jitter that is added to each segment's latency.
     pub jitter: Micros,
-    /// Added while the network is slow.
+    /// The latency that faults add.
     pub extra_latency: Micros,
-    /// Arrivals fall on multiples of this, so that several meet in one moment.
+    /// The granularity of arrival times: they are rounded up to multiples of this, so that arrivals coincide.
     pub tick: Micros,
-    /// Hosts without power: nothing leaves them, and what arrives is lost.
+    /// The hosts without power, which neither send nor receive.
     hosts_off: BTreeSet<HostId>,
-    /// Directed paths that nothing passes, and how many faults cause that.
+    /// The partitioned paths, in one direction each, and the number of faults that partition them.
     partitions: BTreeMap<(HostId, HostId), u32>,
     listeners: BTreeMap<SocketAddr, ListenerState>,
     unresponsive_listeners: BTreeSet<SocketAddr>,
-    /// How long connecting to a listener takes beyond the way there and back.
+    /// The delay that faults add to the accepting of connections, by listener.
     accept_delays: BTreeMap<SocketAddr, Micros>,
     connections: BTreeMap<u64, Connection>,
-    /// Receivers of segments that were lost and are sent again when the path works.
+    /// The receivers of lost segments, which are retransmitted once the path works again.
     lost_segments: BTreeSet<SocketId>,
     last_connection_id: u64,
 }
@@ -52,7 +52,7 @@
 }
 
 impl Network {
-    /// Makes a listener ignore connection requests, or answer them again.
+    /// Makes a listener ignore connection requests, or respond to them again.
     pub fn set_unresponsive(&mut self, listener: SocketAddr, is_unresponsive: bool) {
         if is_unresponsive {
             self.unresponsive_listeners.insert(listener);
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Delays the answers to connection requests, or no longer.
+    /// Sets the delay with which a listener accepts connections, or removes it.
     pub fn set_accept_delay(&mut self, listener: SocketAddr, delay: Option<Micros>) {
         match delay {
             Some(delay) => self.accept_delays.insert(listener, delay),
@@ -69,13 +69,13 @@
         };
     }
 
-    /// Sockets that the process has open.
+    /// Returns the number of open sockets of a process.
     pub fn open_connections_of(&self, process: ProcessId) -> usize {
         let sockets = self.connections.values().flat_map(|connection| &connection.sockets);
         sockets.filter(|socket| socket.process == Some(process) && socket.is_open).count()
     }
 
-    /// Whether anybody waits for a connection to this address.
+    /// Returns whether any connection to this address is being established.
     pub fn is_connecting(&self, address: SocketAddr) -> bool {
         self.connections.values().any(|connection| {
             connection.destination == address
@@ -85,12 +85,12 @@
         })
     }
 
-    /// Cuts the path from one host to another, once more.
+    /// Partitions the path from one host to another. Each call needs its own [`Network::heal`].
     pub fn partition(&mut self, from: HostId, to: HostId) {
         *self.partitions.entry((from, to)).or_default() += 1;
     }
 
-    /// Takes back one cut of the path.
+    /// Undoes one [`Network::partition`] of a path, and retransmits lost segments.
     pub fn heal(&mut self, kernel: &mut Kernel, from: HostId, to: HostId) {
         if let Some(count) = self.partitions.get_mut(&(from, to)) {
             *count -= 1;
@@ -101,12 +101,12 @@
         self.retransmit_lost(kernel);
     }
 
-    /// Takes the power from a host.
+    /// Powers off a host.
     pub fn power_off(&mut self, host: HostId) {
         self.hosts_off.insert(host);
     }
 
-    /// Gives a host its power back.
+    /// Powers on a host, and retransmits lost segments.
     pub fn power_on(&mut self, kernel: &mut Kernel, host: HostId) {
         self.hosts_off.remove(&host);
         self.retransmit_lost(kernel);
@@ -134,8 +134,8 @@
             || self.partitions.contains_key(&(from, to))
     }
 
-    /// Takes back all that a process held: its connections are reset, if anything still leaves its host, and its
-    /// listeners are gone.
+    /// Closes the sockets and listeners of a killed process. Its peers receive a reset, unless the process's
+    /// host has no power.
     pub fn close_process_sockets(&mut self, kernel: &mut Kernel, process: ProcessId) {
         self.listeners.retain(|_, listener| listener.process != process);
         let mut resets = Vec::new();
--- a/crates/simulation/src/network/connection.rs
+++ b/crates/simulation/src/network/connection.rs
@@ -1,4 +1,4 @@
-//! A connection, its two sockets, and what is on its way to each.
+//! A connection, its two sockets, and the segments in transit to each.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use crate::kernel::{HostId, ProcessId};
 use crate::time::Micros;
 
-/// Bytes that one side may have sent and the other not read yet.
+/// The maximum number of bytes that one side has sent and the other has not read yet.
 pub(super) const RECEIVE_WINDOW_BYTES: usize = 256 << 10;
 
 pub(super) struct Connection {
@@ -15,7 +15,7 @@
     pub is_established: bool,
     pub is_refused: bool,
     pub connect_waker: Option<Waker>,
-    /// By side.
+    /// The two sockets, by [`Side`](crate::kernel::Side).
     pub sockets: [Socket; 2],
 }
 
@@ -29,23 +29,23 @@
 pub(super) struct Socket {
     pub process: Option<ProcessId>,
     pub host: Option<HostId>,
-    /// Its process has it, or will accept it.
+    /// True if the socket belongs to a process, or waits in the backlog to be accepted.
     pub is_open: bool,
     pub receive_queue: VecDeque<ReceivedChunk>,
     pub unread_bytes: usize,
-    /// The peer has ended its sending, and that has arrived.
+    /// True once the peer's FIN has arrived.
     pub has_received_fin: bool,
     pub is_reset: bool,
     pub has_sent_fin: bool,
-    /// Bytes that were sent from here and that the peer has not read yet.
+    /// The number of sent bytes that the peer has not read yet.
     pub bytes_in_flight: usize,
-    /// What is on its way here and when it is due, in the order in which it was sent.
+    /// The segments in transit to this socket with their arrival times, in the order in which they were sent.
     pub incoming: VecDeque<(Micros, Segment)>,
     pub read_waker: Option<Waker>,
     pub write_waker: Option<Waker>,
-    /// Bytes that the process has read.
+    /// The number of bytes that the process has read.
     pub bytes_read: u64,
-    /// How many that were when it ended its sending.
+    /// The value of `bytes_read` when the process shut down its sending side or closed the socket.
     pub bytes_read_at_close: Option<u64>,
 }
 
@@ -55,13 +55,13 @@
         wake(&mut self.write_waker);
     }
 
-    /// Nothing to read, and no end of it.
+    /// Returns true if there is nothing to read: no bytes, no FIN and no reset.
     pub fn is_idle(&self) -> bool {
         self.receive_queue.is_empty() && !self.has_received_fin && !self.is_reset
     }
 }
 
-/// What is on its way to one side.
+/// A segment in transit to one side of a connection.
 pub(super) enum Segment {
     Syn,
     SynAck,
@@ -72,7 +72,8 @@
 }
 
 impl Segment {
-    /// Part of the handshake, which is not retransmitted: whoever connects gives up sooner.
+    /// Returns whether the segment is part of the handshake. Lost handshake segments are not retransmitted,
+    /// because the connecting process gives up before that.
     pub fn is_handshake(&self) -> bool {
         matches!(self, Segment::Syn | Segment::SynAck | Segment::Refused)
     }
--- a/crates/simulation/src/network/delivery.rs
+++ b/crates/simulation/src/network/delivery.rs
@@ -1,21 +1,21 @@
-//! How segments travel and what they do where they arrive.
+//! Sends segments and handles their arrival.
 
 use super::Network;
 use super::connection::{ReceivedChunk, Segment, wake};
 use crate::kernel::{Event, Kernel, Side, SocketId};
 use crate::time::Micros;
 
-/// What is next at a socket.
+/// The next segment for a socket.
 enum Arrival {
     Received(Segment),
-    /// A segment was lost for good.
+    /// A segment was lost and is not retransmitted.
     Dropped,
-    /// Nothing, or nothing before the path works again.
+    /// No segment is due, or the next one was lost and waits for the path to work again.
     NotDue,
 }
 
 impl Network {
-    /// Delivers all that is due at a socket.
+    /// Delivers every segment that is due at a socket.
     pub fn deliver(&mut self, kernel: &mut Kernel, receiver: SocketId) {
         loop {
             match self.next_arrival(kernel.now, receiver) {
@@ -26,11 +26,11 @@
         }
     }
 
-    /// Takes the next segment that is due.
+    /// Removes the next segment that is due at a socket and returns it.
     fn next_arrival(&mut self, now: Micros, receiver: SocketId) -> Arrival {
         let sender_host = self.socket(receiver.peer()).and_then(|socket| socket.host);
         let Some(socket) = self.socket(receiver) else { return Arrival::NotDue };
-        let is_cut = match (sender_host, socket.host) {
+        let is_partitioned = match (sender_host, socket.host) {
             (Some(from), Some(to)) => self.is_partitioned(from, to),
             _ => false,
         };
@@ -38,20 +38,20 @@
             Some((due, segment)) if *due <= now => segment.is_handshake(),
             _ => return Arrival::NotDue,
         };
-        if is_cut && !is_handshake {
+        if is_partitioned && !is_handshake {
             self.lost_segments.insert(receiver);
             return Arrival::NotDue;
         }
         let incoming = self.socket_mut(receiver).and_then(|socket| socket.incoming.pop_front());
         match incoming {
-            Some((_, segment)) if !is_cut => Arrival::Received(segment),
+            Some((_, segment)) if !is_partitioned => Arrival::Received(segment),
             Some(_) => Arrival::Dropped,
             None => Arrival::NotDue,
         }
     }
 
     fn receive_segment(&mut self, kernel: &mut Kernel, receiver: SocketId, segment: Segment) {
-        // Some systems discard what was not read when a reset comes.
+        // Some operating systems discard unread bytes when a reset arrives.
         let discards_unread = matches!(segment, Segment::Reset) && kernel.random_below(2) == 0;
         match segment {
             Segment::Syn => self.receive_syn(kernel, receiver.connection),
@@ -81,7 +81,7 @@
     fn receive_bytes(&mut self, kernel: &mut Kernel, receiver: SocketId, bytes: Vec<u8>, sent_at: Micros) {
         let Some(socket) = self.socket_mut(receiver) else { return };
         if !socket.is_open {
-            // Nobody is there to read it.
+            // The process has closed the socket.
             self.send(kernel, receiver.peer(), Segment::Reset);
         } else if !socket.is_reset {
             socket.unread_bytes += bytes.len();
@@ -105,7 +105,8 @@
         }
     }
 
-    /// A connection request has arrived at its listener.
+    /// Handles a connection request at its destination. It is ignored if the listener is unresponsive or its
+    /// backlog is full, and refused if there is no listener.
     fn receive_syn(&mut self, kernel: &mut Kernel, id: u64) {
         let Some(connection) = self.connections.get(&id) else { return };
         let destination = connection.destination;
@@ -132,7 +133,7 @@
         self.send_delayed(kernel, connector, Segment::SynAck, delay);
     }
 
-    /// Sends a segment, behind what went the same way before.
+    /// Sends a segment, which arrives after earlier segments to the same receiver.
     pub(super) fn send(&mut self, kernel: &mut Kernel, receiver: SocketId, segment: Segment) {
         self.send_delayed(kernel, receiver, segment, 0);
     }
--- a/crates/simulation/src/network/socket_calls.rs
+++ b/crates/simulation/src/network/socket_calls.rs
@@ -1,4 +1,4 @@
-//! What a process asks of its system: to listen, connect, read, write and close.
+//! The socket calls of processes: listen, accept, connect, read, write and close.
 
 use std::collections::VecDeque;
 use std::io;
@@ -11,21 +11,21 @@
 use crate::time::Micros;
 use crate::trace::EventKind;
 
-/// One read in so many returns only a few bytes.
+/// One read in this many returns only a few bytes.
 const SHORT_READ_ONE_IN: u64 = 8;
-/// So many at the most.
+/// The maximum number of bytes that a short read returns.
 const MAX_SHORT_READ_BYTES: u64 = 16;
-/// One write in so many takes only a part.
+/// One write in this many takes only a part of the bytes.
 const PARTIAL_WRITE_ONE_IN: u64 = 6;
-/// One write in so many goes out in two segments.
+/// One write in this many is sent as two segments.
 const SPLIT_WRITE_ONE_IN: u64 = 4;
 
 impl Network {
-    /// Listens on an address; so many connections may wait to be accepted.
+    /// Listens on an address. At most `backlog_limit` connections may wait to be accepted.
     ///
     /// # Errors
     ///
-    /// Fails where somebody listens there already.
+    /// Fails if the address already has a listener.
     pub fn listen(
         &mut self,
         process: ProcessId,
@@ -41,7 +41,7 @@
         Ok(())
     }
 
-    /// Ends a listener of the process, and closes what waits to be accepted.
+    /// Removes a listener of the process, and closes the connections that wait to be accepted.
     pub fn stop_listening(&mut self, kernel: &mut Kernel, process: ProcessId, address: SocketAddr) {
         if self.listeners.get(&address).is_some_and(|listener| listener.process == process)
             && let Some(listener) = self.listeners.remove(&address)
@@ -52,11 +52,11 @@
         }
     }
 
-    /// Takes the next connection of a listener.
+    /// Accepts the next connection of a listener.
     ///
     /// # Errors
     ///
-    /// Fails where the process does not listen there.
+    /// Fails if the process does not listen on the address.
     pub fn poll_accept(
         &mut self,
         cx: &mut Context,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Asks for a connection.
+    /// Starts to connect to an address, and returns the connecting socket.
     pub fn connect(
         &mut self,
         kernel: &mut Kernel,
@@ -103,11 +103,11 @@
         socket
     }
 
-    /// Waits for a connection that was asked for.
+    /// Polls whether a connection is established.
     ///
     /// # Errors
     ///
-    /// Fails where it is refused.
+    /// Fails if the connection is refused or gone.
     pub fn poll_connected(&mut self, cx: &mut Context, socket: SocketId) -> Poll<io::Result<()>> {
         let Some(connection) = self.connections.get_mut(&socket.connection) else {
             return Poll::Ready(Err(io::ErrorKind::NotConnected.into()));
@@ -122,11 +122,11 @@
         Poll::Pending
     }
 
-    /// Reads what has arrived, in pieces of any size; 0 bytes at the end.
+    /// Reads bytes that have arrived, possibly fewer than are available. Returns 0 at the end of the stream.
     ///
     /// # Errors
     ///
-    /// Fails where the connection is reset or closed.
+    /// Fails if the connection is reset or closed.
     pub fn poll_recv(
         &mut self,
         kernel: &mut Kernel,
@@ -166,11 +166,12 @@
         Poll::Ready(Ok(read))
     }
 
-    /// Sends as many of the bytes as the network takes. Without a context nobody is woken when it takes more.
+    /// Sends as many of the bytes as the network accepts. Without a context, no task is woken once it accepts
+    /// more.
     ///
     /// # Errors
     ///
-    /// Fails where the connection is reset or closed, or its sending has ended.
+    /// Fails if the connection is reset or closed, or its sending side is shut down.
     pub fn poll_send(
         &mut self,
         kernel: &mut Kernel,
@@ -206,7 +207,7 @@
         Poll::Ready(Ok(length))
     }
 
-    /// Sends bytes that arrive in one piece, whatever the window.
+    /// Sends bytes as one segment, even if the receive window is full.
     pub fn send_unsplit(&mut self, kernel: &mut Kernel, id: SocketId, bytes: Vec<u8>) {
         let sent_at = kernel.now;
         if let Some(socket) = self.socket_mut(id) {
@@ -215,7 +216,7 @@
         }
     }
 
-    /// Ends the sending of one side.
+    /// Shuts down the sending side of a socket.
     pub fn shutdown_write(&mut self, kernel: &mut Kernel, id: SocketId) {
         let Some(socket) = self.socket_mut(id) else { return };
         if socket.has_sent_fin || socket.is_reset {
@@ -224,12 +225,13 @@
         socket.has_sent_fin = true;
         socket.bytes_read_at_close = Some(socket.bytes_read);
         let SocketId { connection, side } = id;
-        let line = format_args!("connection {connection} ends its sending on side {}", side as u64);
+        let line = format_args!("connection {connection} shut down for writing by side {}", side as u64);
         kernel.record_event(EventKind::SendingEnded, &[connection, side as u64], line);
         self.send(kernel, id.peer(), Segment::Fin);
     }
 
-    /// Closes one side. The peer is reset where bytes lie unread, as systems do.
+    /// Closes a socket. If it has unread bytes, the peer receives a reset instead of a FIN, as with real TCP
+    /// stacks.
     pub fn close(&mut self, kernel: &mut Kernel, id: SocketId) {
         let Some(socket) = self.socket_mut(id) else { return };
         if !socket.is_open {
@@ -245,7 +247,8 @@
             self.shutdown_write(kernel, id);
         }
         let connection = id.connection;
-        let line = format_args!("connection {connection} closed by process {process} with {unread} unread");
+        let line =
+            format_args!("connection {connection} closed by process {process} with {unread} unread bytes");
         let numbers = [connection, u64::from(process), unread as u64];
         kernel.record_event(EventKind::ConnectionClosed, &numbers, line);
         self.remove_connection_if_closed(connection);
@@ -258,40 +261,42 @@
         }
     }
 
-    /// Nothing has come that was not read, and no end either.
+    /// Returns true if there is nothing to read: no bytes, no FIN and no reset.
     pub fn is_idle(&self, id: SocketId) -> bool {
         self.socket(id).is_some_and(Socket::is_idle)
     }
 
-    /// The peer has ended its sending, or the connection is reset, whether or not bytes lie unread before that.
+    /// Returns true if a FIN or a reset has arrived, or the connection is gone, even if there are unread
+    /// bytes.
     pub fn is_read_closed(&self, id: SocketId) -> bool {
         self.socket(id).is_none_or(|socket| socket.has_received_fin || socket.is_reset)
     }
 
-    /// When the bytes that are read next were sent, if any have arrived.
+    /// Returns the time at which the next unread bytes were sent, if there are any.
     pub fn next_chunk_sent_at(&self, id: SocketId) -> Option<Micros> {
         self.socket(id)?.receive_queue.front().map(|chunk| chunk.sent_at)
     }
 
-    /// How many bytes the peer's process had read when it ended its sending, or has by now.
+    /// Returns the number of bytes that the peer's process had read when it shut down its sending side or
+    /// closed the socket, or has read until now.
     pub fn bytes_read_by_peer(&self, id: SocketId) -> u64 {
         let peer = self.socket(id.peer());
         peer.map_or(0, |socket| socket.bytes_read_at_close.unwrap_or(socket.bytes_read))
     }
 
-    /// Forgets who waits to read here, as a lost wake-up would.
+    /// Drops the waker of the task that waits to read, which simulates a lost wake-up.
     pub fn drop_read_waker(&mut self, id: SocketId) {
         if let Some(socket) = self.socket_mut(id) {
             socket.read_waker = None;
         }
     }
 
-    /// Something that was sent from here has not been read yet.
+    /// Returns whether the peer has not yet read some of the sent bytes.
     pub fn has_bytes_in_flight(&self, id: SocketId) -> bool {
         self.socket(id).is_some_and(|socket| socket.bytes_in_flight > 0)
     }
 
-    /// The host of the peer, once it is known.
+    /// Returns the host of the peer, if the connection exists.
     pub fn peer_host(&self, id: SocketId) -> Option<HostId> {
         self.socket(id.peer())?.host
     }
--- a/crates/simulation/src/runtime.rs
+++ b/crates/simulation/src/runtime.rs
@@ -1,7 +1,7 @@
-//! The simulation as one process sees it: an implementation of the [`Runtime`] that balancers and sidecars use.
+//! Implements the [`Runtime`] of balancers and sidecars on the simulation, for one process each.
 //!
-//! Test endpoints and clients use it as well. A balancer's runtime has [`ConnectionHooks`] besides, through which a run
-//! observes its connections and a mutant changes them.
+//! Test endpoints and clients use it as well. A balancer's runtime also has [`ConnectionHooks`], which
+//! observe its connections and let a mutant change their behaviour.
 
 use std::fmt::Arguments;
 use std::future::{Future, poll_fn};
@@ -19,44 +19,45 @@
 use crate::stream::{SimulatedListener, SimulatedStream};
 use crate::time::{Micros, START_UNIX_MS};
 
-/// What stands between a balancer and its network.
+/// Hooks between a balancer and the network.
 pub trait ConnectionHooks: Send + Sync {
-    /// The balancer connects to an endpoint.
+    /// Called before the balancer connects to an endpoint.
     fn on_connect(&self, destination: SocketAddr);
 
-    /// What is to be written is handled here in place of the network; as many bytes count as written.
+    /// Called before bytes are sent. If it returns a number, the network does not send the bytes, and that
+    /// many count as written.
     fn intercept_send(&self, stream: &SimulatedStream, bytes: &[u8]) -> Option<usize>;
 
-    /// The network has taken these bytes.
+    /// Called after the network has accepted these bytes.
     fn on_sent(&self, stream: &SimulatedStream, bytes: &[u8]);
 
-    /// The balancer waits for bytes.
+    /// Called when a read of the balancer finds no bytes and waits.
     fn on_read_pending(&self, stream: &SimulatedStream);
 
-    /// The balancer has closed its side.
+    /// Called after the balancer has closed its side.
     fn on_closed(&self, stream: &SimulatedStream);
 
-    /// An attempt has ended, with one of the names of the balancer's attempt results.
+    /// Called after an attempt has finished, with the name of its result.
     fn on_attempt_finished(&self, result: &'static str);
 }
 
-/// A process of the simulation; clones are handles of the same one.
+/// A handle to a process of the simulation; clones refer to the same process.
 #[derive(Clone)]
 pub struct SimulatedRuntime {
-    /// The run.
+    /// The simulation that the process belongs to.
     pub simulation: Simulation,
-    /// Number of the process.
+    /// The number of the process.
     pub process: ProcessId,
-    /// Where it runs.
+    /// The host that it runs on.
     pub host: HostId,
     /// Its name in the trace.
     pub name: Arc<str>,
-    /// Only a balancer's runtime has any.
+    /// The hooks, which only the runtime of a balancer has.
     pub hooks: Option<Arc<dyn ConnectionHooks>>,
 }
 
 impl SimulatedRuntime {
-    /// A new process.
+    /// Creates a process.
     pub fn new(simulation: &Simulation, host: HostId, name: &str) -> SimulatedRuntime {
         SimulatedRuntime {
             simulation: simulation.clone(),
@@ -67,20 +68,20 @@
         }
     }
 
-    /// Waits for so long, counted from the first poll.
+    /// Waits for a duration, counted from the first poll.
     pub async fn sleep_micros(&self, duration: Micros) {
         self.simulation.sleep(duration).await;
     }
 
-    /// Connects without the hooks' notice.
+    /// Connects without calling the hooks.
     ///
     /// # Errors
     ///
-    /// Fails where the connection is refused.
+    /// Fails if the connection is refused.
     pub async fn dial(&self, destination: SocketAddr) -> io::Result<SimulatedStream> {
         let destination_host = host_of(destination);
         let socket = self.simulation.state().connect(self.process, self.host, destination, destination_host);
-        // Dropping the stream closes the connection, also while it is not established.
+        // Dropping the stream closes the connection, even before it is established.
         let stream = SimulatedStream { runtime: self.clone(), socket };
         poll_fn(|cx| self.simulation.state().network.poll_connected(cx, socket)).await?;
         Ok(stream)
@@ -100,7 +101,7 @@
     }
 
     fn caught_up_to(&self) -> Timestamp {
-        // Whatever has arrived is read before time goes on.
+        // Virtual time does not advance until all tasks have handled what has arrived.
         self.now()
     }
 
@@ -127,7 +128,7 @@
 
     fn log(&self, line: Arguments) {
         let name = &self.name;
-        self.simulation.state().kernel.record_log(format_args!("{name} logs: {line}"));
+        self.simulation.state().kernel.record_log(format_args!("{name} logged: {line}"));
     }
 
     fn attempt_finished(&self, result: &'static str) {
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -1,7 +1,7 @@
-//! The executor: every process of a run, balancer and test endpoint alike, is a set of tasks here.
+//! The executor of a run. Every process, whether balancer or test endpoint, is a set of its tasks.
 //!
-//! Time stands still while any task is ready and then steps to the next event. Which of several ready tasks is polled
-//! next is drawn from the seed.
+//! Virtual time advances to the next event only when no task is ready. The task to poll next is drawn from
+//! the ready tasks with the random numbers of the seed.
 
 mod sockets;
 
@@ -17,23 +17,23 @@
 use crate::network::Network;
 use crate::time::{MS, Micros};
 
-/// Polls without progress of time after which a run counts as livelocked.
+/// The number of polls at one virtual time after which a run counts as livelocked.
 const MAX_POLLS_WITHOUT_PROGRESS: u64 = 400_000;
-/// A process that is short of its core stalls at one in so many polls.
+/// A process that is starved of CPU time stalls at one in this many polls.
 const STALL_ONE_IN: u64 = 40;
-/// How long it stalls at the most.
+/// The exclusive upper bound of a stall.
 const MAX_STALL: Micros = 12 * MS;
 
 type TaskFuture = Pin<Box<dyn Future<Output = ()> + Send>>;
 
 struct Task {
     process: ProcessId,
-    /// None while it is polled.
+    /// The future of the task, or `None` while it is polled.
     future: Option<TaskFuture>,
     waker: Arc<TaskWaker>,
 }
 
-/// Wakes one task.
+/// Puts one task into the ready queue, unless it is there already.
 struct TaskWaker {
     task: u64,
     is_queued: AtomicBool,
@@ -58,29 +58,29 @@
     waker: Arc<TaskWaker>,
 }
 
-/// All that changes during a run.
+/// The mutable state of a run.
 pub struct SimulationState {
-    /// Clock, random numbers, events and trace.
+    /// The clock, the random numbers, the events and the trace.
     pub kernel: Kernel,
-    /// Every connection and what is on its way.
+    /// The connections and the segments in transit.
     pub network: Network,
     tasks: BTreeMap<u64, Task>,
     ended_processes: Vec<ProcessId>,
     last_task_id: u64,
     last_process_id: u32,
     polls_without_progress: u64,
-    /// Processes that get too little of their core, and how many faults cause that.
+    /// The processes that are starved of CPU time, and the number of faults that cause this.
     starved_processes: BTreeMap<ProcessId, u32>,
     stalled_until: BTreeMap<ProcessId, Micros>,
 }
 
 impl SimulationState {
-    /// A whole number from 0 up to, but not including, the limit.
+    /// Draws an integer from 0 up to, but not including, the limit.
     pub fn random_below(&mut self, limit: u64) -> u64 {
         self.kernel.random_below(limit)
     }
 
-    /// Begins or ends one cause for the process to get too little of its core.
+    /// Starts or ends one fault that starves a process of CPU time.
     pub fn set_cpu_starved(&mut self, process: ProcessId, is_starved: bool) {
         let count = self.starved_processes.entry(process).or_default();
         *count = if is_starved { *count + 1 } else { count.saturating_sub(1) };
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Takes the task out to be polled. None where it has ended, or where its process is stalled.
+    /// Takes a task's future to poll it. Returns `None` if the task has ended or its process is stalled.
     fn take_task(&mut self, id: u64) -> Option<RunningTask> {
         let process = self.tasks.get(&id)?.process;
         if let Some(&until) = self.stalled_until.get(&process)
@@ -109,26 +109,26 @@
     }
 }
 
-/// A run; clones are handles of the same one.
+/// A handle to a run; clones refer to the same run.
 #[derive(Clone)]
 pub struct Simulation {
     state: Arc<Mutex<SimulationState>>,
     ready_queue: Arc<Mutex<Vec<u64>>>,
-    /// The instant that stands for time 0.
+    /// The instant that corresponds to virtual time 0.
     started_at: Instant,
 }
 
-/// Why a run went no further.
+/// The reason why a run stopped.
 #[derive(Debug, PartialEq)]
 pub enum StopReason {
-    /// The time has come, or the caller has seen enough.
+    /// The end time was reached, or the caller's condition was met.
     Reached,
-    /// Tasks woke each other and no time passed.
+    /// Tasks kept waking each other while virtual time did not advance.
     Livelock,
 }
 
 impl Simulation {
-    /// A run without processes. The text of its trace is kept only on request.
+    /// Creates a run without processes. The text of its trace is kept only if `keeps_trace_text` is set.
     pub fn new(seed: u64, keeps_trace_text: bool) -> Simulation {
         let state = SimulationState {
             kernel: Kernel::new(seed, keeps_trace_text),
@@ -148,11 +148,12 @@
         }
     }
 
-    /// The state. The lock is not re-entrant: no stream may be dropped and no sleep made while it is held.
+    /// Locks the state. The lock is not re-entrant: no stream may be dropped and no sleep created while it is
+    /// held.
     ///
     /// # Panics
     ///
-    /// Panics after a panic of another holder.
+    /// Panics if another holder of the lock has panicked.
     pub fn state(&self) -> MutexGuard<'_, SimulationState> {
         self.state.lock().expect("no panic while the state is locked")
     }
@@ -161,24 +162,24 @@
         self.ready_queue.lock().expect("no panic while the queue is locked")
     }
 
-    /// The virtual time.
+    /// Returns the virtual time.
     pub fn now(&self) -> Micros {
         self.state().kernel.now
     }
 
-    /// The virtual time as libraries take it.
+    /// Returns the virtual time as an [`Instant`].
     pub fn instant(&self) -> Instant {
         self.started_at + Duration::from_micros(self.now())
     }
 
-    /// Numbers a new process.
+    /// Returns a new process ID.
     pub fn new_process(&self) -> ProcessId {
         let mut state = self.state();
         state.last_process_id += 1;
         ProcessId(state.last_process_id)
     }
 
-    /// Starts a task of a process; it is dropped at once where the process has ended.
+    /// Starts a task of a process. If the process has ended, the task is dropped at once.
     pub fn spawn(&self, process: ProcessId, future: impl Future<Output = ()> + Send + 'static) {
         let mut state = self.state();
         if state.ended_processes.contains(&process) {
@@ -193,8 +194,8 @@
         state.tasks.insert(task, Task { process, future: Some(Box::pin(future)), waker });
     }
 
-    /// Ends a process between two instructions: its tasks are dropped, in the order of their numbers. Its connections
-    /// have to be closed before, or dropping the tasks would end them in good order.
+    /// Ends a process at its current await points: its tasks are dropped in the order of their numbers. Its
+    /// connections must be reset before this call, or dropping the tasks would close them gracefully.
     pub fn end_process(&self, process: ProcessId) {
         let mut state = self.state();
         state.ended_processes.push(process);
@@ -206,7 +207,7 @@
         drop(ended);
     }
 
-    /// Drops every task and event, which hold the run alive.
+    /// Drops every task and event, because they hold handles that would keep the run alive.
     pub fn shut_down(&self) {
         loop {
             let mut state = self.state();
@@ -221,18 +222,18 @@
         }
     }
 
-    /// How many tasks of the process have not ended.
+    /// Returns the number of tasks of a process that have not ended.
     pub fn task_count(&self, process: ProcessId) -> usize {
         self.state().tasks.values().filter(|task| task.process == process).count()
     }
 
-    /// Waits for so long, counted from this call.
+    /// Returns a future that completes after a duration, counted from this call.
     pub fn sleep(&self, duration: Micros) -> Sleep {
         let wake_at = self.now().saturating_add(duration);
         Sleep { simulation: self.clone(), wake_at, timer: None }
     }
 
-    /// Runs until that time, or until `is_over`, which is asked after every poll.
+    /// Runs until the end time, or until `is_over`, which is called after every poll, returns true.
     pub fn run_until(&self, end: Micros, is_over: impl Fn() -> bool) -> StopReason {
         loop {
             while let Some(task) = self.take_random_ready() {
@@ -252,7 +253,8 @@
         }
     }
 
-    /// Steps to the time of the next event and handles every event of that time; false where that is past the end.
+    /// Advances to the time of the next event and handles every event of that time. Returns false if there is
+    /// none until the end time.
     fn advance(&self, end: Micros) -> bool {
         let mut guard = self.state();
         let state = &mut *guard;
@@ -295,17 +297,17 @@
             task.future = Some(future);
             return;
         }
-        // What the future drops may lock the state.
+        // Dropping the future may lock the state, so the lock is released first.
         drop(state);
         drop(future);
     }
 }
 
-/// Waits until a time.
+/// A future that completes at a virtual time.
 pub struct Sleep {
     simulation: Simulation,
     wake_at: Micros,
-    /// Its event, from the first poll on; polled again, it keeps its place in the queue.
+    /// The key of the timer event, from the first poll on. Later polls keep the event's place in the queue.
     timer: Option<EventKey>,
 }
 
--- a/crates/simulation/src/simulation/sockets.rs
+++ b/crates/simulation/src/simulation/sockets.rs
@@ -1,4 +1,4 @@
-//! The network's calls as processes make them, with the kernel of the run.
+//! Forwards calls to the network, together with the kernel of the run.
 
 use std::io;
 use std::net::SocketAddr;
--- a/crates/simulation/src/stream.rs
+++ b/crates/simulation/src/stream.rs
@@ -12,10 +12,10 @@
 use crate::kernel::{HostId, SocketId};
 use crate::runtime::SimulatedRuntime;
 
-/// hyper is given so many bytes a read at the most.
+/// The maximum number of bytes that one read returns to hyper.
 const READ_BUFFER_BYTES: usize = 4096;
 
-/// A listener; dropping it closes what waits to be accepted.
+/// A listener. Dropping it closes the connections that wait to be accepted.
 pub struct SimulatedListener {
     pub(crate) runtime: SimulatedRuntime,
     pub(crate) address: SocketAddr,
@@ -54,11 +54,11 @@
     }
 }
 
-/// One side of a connection; dropping it closes that side.
+/// One side of a connection. Dropping it closes that side.
 pub struct SimulatedStream {
-    /// The process that has it.
+    /// The process that the stream belongs to.
     pub runtime: SimulatedRuntime,
-    /// Its number in the network.
+    /// The socket in the network.
     pub socket: SocketId,
 }
 
@@ -67,7 +67,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where the connection is reset or closed.
+    /// Fails if the connection is reset or closed.
     pub async fn write(&self, mut bytes: &[u8]) -> io::Result<()> {
         while !bytes.is_empty() {
             let written = poll_fn(|cx| self.poll_send(cx, &[IoSlice::new(bytes)])).await?;
@@ -76,12 +76,12 @@
         Ok(())
     }
 
-    /// The host of the peer; host 0 where the connection is gone.
+    /// Returns the host of the peer, or host 0 if the connection is gone.
     pub fn peer_host(&self) -> HostId {
         self.runtime.simulation.state().network.peer_host(self.socket).unwrap_or(HostId(0))
     }
 
-    fn send_observed(&self, cx: Option<&mut Context>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn send_with_hooks(&self, cx: Option<&mut Context>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let written = self.runtime.simulation.state().poll_send(cx, self.socket, bytes);
         if let (Some(hooks), Poll::Ready(Ok(written))) = (&self.runtime.hooks, &written) {
             hooks.on_sent(self, &bytes[..*written]);
@@ -116,11 +116,11 @@
         {
             return Poll::Ready(Ok(written));
         }
-        self.send_observed(Some(cx), bytes)
+        self.send_with_hooks(Some(cx), bytes)
     }
 
     fn try_send(&self, bytes: &[u8]) -> io::Result<usize> {
-        match self.send_observed(None, bytes) {
+        match self.send_with_hooks(None, bytes) {
             Poll::Ready(written) => written,
             Poll::Pending => Err(io::ErrorKind::WouldBlock.into()),
         }
