--- a/crates/simulation/src/client.rs
+++ b/crates/simulation/src/client.rs
@@ -1,7 +1,8 @@
-//! Clients: they keep connections or open one for each request, give up, retry at once, later or when they were told,
-//! and send a request once more where a close crossed it.
+//! Clients of the balancers. Depending on the seed, a client reuses connections or opens one for each
+//! request, may abandon requests, and retries never, at once, with backoff or after the time in
+//! `Retry-After`. It resends a request once if the balancer closed the connection before reading it.
 //!
-//! What a client receives and what it does not is recorded as it is.
+//! Clients record every response, and every request that ends without one.
 
 mod connection;
 mod request;
@@ -29,19 +30,20 @@
 const MAX_RETRIES: u64 = 2;
 const DEFAULT_RETRY_AFTER: Micros = 100 * MS;
 const INITIAL_BACKOFF: Micros = 50 * MS;
-/// Connections that a client keeps to each process of a balancer.
+/// The maximum number of idle connections that a client keeps to each process of a balancer.
 const MAX_IDLE_CONNECTIONS: usize = 4;
-/// A request with less time may end in the backlog of a balancer that is short of descriptors.
+/// A request with a shorter timeout may expire in the backlog of a balancer that is short of descriptors,
+/// which breaks no rule.
 const MIN_ANSWERABLE_TIMEOUT: Micros = 100 * MS;
 
-/// Whether and when a client retries.
+/// The retry policy of a client.
 #[derive(Clone, Copy, PartialEq)]
 enum RetryBehavior {
     Never,
     Immediate,
-    /// When the balancer said.
+    /// Retries after the time in `Retry-After`.
     RetryAfter,
-    /// Whatever the balancer said, after a wait that doubles each time.
+    /// Retries after a wait that doubles each time, whatever `Retry-After` says.
     ExponentialBackoff,
 }
 
@@ -52,7 +54,7 @@
     RetryBehavior::ExponentialBackoff,
 ];
 
-/// A client.
+/// A client that sends requests to balancers.
 pub struct Client {
     runtime: SimulatedRuntime,
     context: Arc<ClusterContext>,
@@ -61,43 +63,45 @@
     idle_connections: Mutex<BTreeMap<BalancerProcess, Vec<ClientConnection>>>,
 }
 
-/// How one try went, as far as the client can tell.
+/// The outcome of one try, as far as the client can tell.
 enum ExchangeOutcome {
     Response(Message),
-    /// The connection ended, and the balancer had read nothing of the request.
+    /// The connection was closed before the balancer read any byte of the request.
     ClosedUnread,
-    /// The connection ended before the last byte could be written.
+    /// The connection was closed before the client wrote the last byte.
     WriteFailed,
+    /// The connection was closed after the balancer read a part of the request, and before the body of a
+    /// response.
     ClosedAfterRead,
     TimedOut,
-    /// The beginning of an answer and then the end, at this time.
+    /// The response ended before its last byte, at this time.
     PartialResponse(Micros),
     Abandoned,
 }
 
-/// The last try of a request, and the process that it went to.
+/// The outcome of a try, and the process that it was sent to.
 struct Exchange {
     outcome: ExchangeOutcome,
     process: BalancerProcess,
 }
 
-/// What is known when a try has ended.
+/// Conditions at the end of a try.
 struct TryContext {
-    /// The connection was made for this request alone.
+    /// True if the connection was opened for this request alone.
     is_fresh: bool,
     is_balancer_alive: bool,
-    /// The balancer has read nothing of the request.
+    /// True if the balancer has read no byte of the request.
     is_unread: bool,
 }
 
-/// Whether a client may retry after an outcome.
+/// The advice on whether a client may retry after an outcome.
 enum RetryAdvice {
     Final,
     MayRetry { retry_after: Option<Micros> },
 }
 
 impl Client {
-    /// A client of that number. The seed gives it its habits.
+    /// Creates a client. Its use of connections and its retry policy are drawn from the seed.
     pub fn new(context: &Arc<ClusterContext>, number: u32) -> Arc<Client> {
         let mut rng = Pcg::new(mix(context.scenario.seed ^ 0xc11e_0000 ^ u64::from(number)));
         let host = HostId(FIRST_CLIENT_HOST + number);
@@ -110,7 +114,7 @@
         })
     }
 
-    /// How many requests have not ended.
+    /// Returns the number of requests that have not finished.
     pub fn task_count(&self) -> usize {
         self.context.simulation.task_count(self.runtime.process)
     }
@@ -119,13 +123,14 @@
         self.idle_connections.lock().expect("no panic while connections are locked")
     }
 
-    /// Closes the connections that it keeps.
+    /// Closes the idle connections that the client keeps.
     pub fn close_idle_connections(&self) {
         let connections = std::mem::take(&mut *self.idle_connections());
         drop(connections);
     }
 
-    /// Sends a request at a time, and retries it as the client does. Those of a storm have connections of their own.
+    /// Sends a request at a given time and retries it by the client's policy. Each request of a storm has a
+    /// connection of its own.
     pub fn send_at(self: &Arc<Client>, at: Micros, number: u64, is_in_storm: bool) {
         let client = self.clone();
         self.runtime.spawn(async move {
@@ -194,7 +199,8 @@
         }
     }
 
-    /// One try, or two where a close crossed the first. None where there is no balancer to ask.
+    /// Sends a request once, or twice if the first connection was closed before the balancer read the
+    /// request. Returns `None` if no balancer accepts a connection.
     async fn send_request(
         &self,
         request_id: u64,
@@ -208,7 +214,7 @@
         loop {
             let is_fresh = is_in_storm || self.connects_for_each_request || is_resend;
             let Some(mut connection) = self.acquire_connection(rng, is_fresh).await else {
-                self.context.records.lock().outcomes.increment("nobody to ask");
+                self.context.records.lock().outcomes.increment("no balancer accepted a connection");
                 return None;
             };
             let process = connection.process;
@@ -221,7 +227,7 @@
                 Err(_) if is_unread => ExchangeOutcome::ClosedUnread,
                 Err(_) => ExchangeOutcome::ClosedAfterRead,
             };
-            if !is_resend && self.record_crossed_close(&outcome) {
+            if !is_resend && self.record_close_before_read(&outcome) {
                 is_resend = true;
                 continue;
             }
@@ -231,11 +237,12 @@
         }
     }
 
-    /// Whether a first try ended so that the request is sent once more at once.
-    fn record_crossed_close(&self, outcome: &ExchangeOutcome) -> bool {
+    /// Returns whether the request should be resent at once: the connection was closed before the balancer
+    /// read it or before it was fully written. Records each such case.
+    fn record_close_before_read(&self, outcome: &ExchangeOutcome) -> bool {
         match outcome {
             ExchangeOutcome::WriteFailed => {
-                self.context.records.lock().outcomes.increment("cut while it was sent");
+                self.context.records.lock().outcomes.increment("connection closed during the request");
                 true
             }
             ExchangeOutcome::ClosedUnread => {
@@ -246,7 +253,7 @@
         }
     }
 
-    /// Records how a request ended, and keeps or closes its connection after that.
+    /// Records the outcome of a request, and keeps or closes its connection.
     async fn conclude(
         &self,
         rng: &mut Pcg,
@@ -268,7 +275,7 @@
                 let kernel = &mut self.runtime.simulation.state().kernel;
                 records.record_truncated_response(kernel, request.id, *sent_at);
             }
-            ExchangeOutcome::WriteFailed => self.count_outcome("cut while it was sent"),
+            ExchangeOutcome::WriteFailed => self.count_outcome("connection closed during the request"),
             ExchangeOutcome::ClosedUnread if state.is_balancer_alive => {
                 self.report_lost(request.id, connection.process, false);
             }
@@ -277,13 +284,13 @@
             }
             ExchangeOutcome::TimedOut if state.is_balancer_alive => {
                 if request.timeout < MIN_ANSWERABLE_TIMEOUT && state.is_unread {
-                    self.count_outcome("left in the backlog with hardly any time");
+                    self.count_outcome("expired in the backlog with a short timeout");
                 } else {
                     self.report_unanswered(request.id, connection.process);
                 }
             }
             ExchangeOutcome::ClosedUnread | ExchangeOutcome::ClosedAfterRead | ExchangeOutcome::TimedOut => {
-                self.count_outcome("lost with its balancer")
+                self.count_outcome("balancer exited before a response")
             }
             ExchangeOutcome::Abandoned => self.abandon(rng, request.id, connection).await,
         }
@@ -314,8 +321,9 @@
 
     fn report_lost(&self, request_id: u64, process: BalancerProcess, is_read: bool) {
         let balancer = process.balancer;
-        let how = if is_read { "after it had been read" } else { "twice" };
-        let text = format!("b{balancer} ended the connection of request {request_id:x} {how} with no answer");
+        let how = if is_read { "after reading from it" } else { "twice" };
+        let text =
+            format!("b{balancer} closed the connection of request {request_id:x} {how} without a response");
         let numbers = [balancer as u64, request_id, u64::from(is_read)];
         let mut records = self.context.records.lock();
         let kernel = &mut self.runtime.simulation.state().kernel;
@@ -324,15 +332,15 @@
 
     fn report_unanswered(&self, request_id: u64, process: BalancerProcess) {
         let balancer = process.balancer;
-        let text = format!("b{balancer} gave no answer to request {request_id:x} in its time");
+        let text = format!("b{balancer} sent no response to request {request_id:x} before its deadline");
         let numbers = [balancer as u64, request_id];
         let mut records = self.context.records.lock();
         let kernel = &mut self.runtime.simulation.state().kernel;
         records.report_violation(kernel, Rule::Unanswered, &numbers, text);
     }
 
-    /// Closes the connection of a request that the client gives up. Some clients end only their sending at first, which
-    /// the protocol counts as gone.
+    /// Closes the connection of a request that the client abandons. One time in three it shuts down only its
+    /// sending side at first, which by the protocol already means that the client has gone.
     async fn abandon(&self, rng: &mut Pcg, request_id: u64, connection: ClientConnection) {
         if random_below(rng, 3) == 0 {
             connection.shutdown_write();
@@ -342,6 +350,6 @@
         drop(connection);
         let mut records = self.context.records.lock();
         records.record_client_gone(self.runtime.simulation.now(), request_id);
-        records.outcomes.increment("given up by its client");
+        records.outcomes.increment("abandoned by the client");
     }
 }
--- a/crates/simulation/src/client/connection.rs
+++ b/crates/simulation/src/client/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connections, and one request on one of them.
+//! The connections of a client, and the exchange of one request and its response.
 
 use std::io;
 use std::sync::atomic::Ordering;
@@ -19,32 +19,32 @@
 use crate::time::{MS, Micros};
 use crate::trace::EventKind;
 
-/// Then another balancer is tried.
+/// The time after which the client tries another balancer.
 const CONNECT_TIMEOUT: Micros = 400 * MS;
-/// Balancers that are tried for one request.
+/// The maximum number of tries to find a connection for one request.
 const MAX_CONNECT_TRIES: usize = 4;
-/// How much longer than the tolerance a client waits for an answer.
+/// The time beyond the network tolerance for which a client waits for a response.
 const TIMEOUT_MARGIN: Micros = 5 * MS;
-/// Longer than any run.
+/// A time that is longer than any run.
 const NEVER: Micros = Micros::MAX / 4;
 
-/// A connection, and how much was written to it so far.
+/// A client's connection to a balancer.
 pub(super) struct ClientConnection {
     /// The process that accepted it.
     pub process: BalancerProcess,
-    /// Bytes of all requests on it.
+    /// The number of bytes that the client has written, over all requests.
     pub bytes_written: u64,
     stream: SimulatedStream,
     reader: MessageReader,
 }
 
 impl ClientConnection {
-    /// How many bytes the balancer has read.
+    /// Returns the number of bytes that the balancer has read.
     pub fn bytes_read_by_peer(&self) -> u64 {
         self.stream.runtime.simulation.state().network.bytes_read_by_peer(self.stream.socket)
     }
 
-    /// Ends the sending of the client.
+    /// Shuts down the client's sending side.
     pub fn shutdown_write(&self) {
         self.stream.shutdown_write();
     }
@@ -58,7 +58,7 @@
         state.network.next_chunk_sent_at(self.stream.socket).is_some() || self.reader.has_buffered_bytes()
     }
 
-    /// Writes bytes and counts them; whether they could be written.
+    /// Writes bytes and counts them. Returns false if the write fails.
     async fn write(&mut self, bytes: &[u8]) -> bool {
         if self.stream.write(bytes).await.is_err() {
             return false;
@@ -69,7 +69,7 @@
 }
 
 impl Client {
-    /// A kept connection or a new one, to a balancer of those in rotation.
+    /// Returns an idle or a new connection to one of the balancers in rotation.
     pub(super) async fn acquire_connection(&self, rng: &mut Pcg, is_fresh: bool) -> Option<ClientConnection> {
         for _ in 0..MAX_CONNECT_TRIES {
             let in_rotation = self.context.balancers_in_rotation();
@@ -79,7 +79,7 @@
             }
             let entry = in_rotation[random_below(rng, in_rotation.len() as u64) as usize];
             let kept = self.idle_connections().get_mut(&entry.process).and_then(Vec::pop);
-            // A kept connection that is not used is closed before the new one is asked for.
+            // An idle connection that can't be used is closed before a new one is opened.
             if let Some(connection) = kept
                 && !is_fresh
                 && self.is_usable(rng, &connection)
@@ -93,15 +93,16 @@
         None
     }
 
-    /// Most clients look before they write; the others find out. Bytes on an idle connection break a rule.
+    /// Returns whether an idle connection may be used. In three of four cases the client checks first whether
+    /// the balancer has closed it. Reports a violation if the balancer has sent bytes without a request.
     fn is_usable(&self, rng: &mut Pcg, connection: &ClientConnection) -> bool {
-        let looks = random_below(rng, 4) > 0;
-        if looks && !connection.is_idle() {
+        let checks_first = random_below(rng, 4) > 0;
+        if checks_first && !connection.is_idle() {
             return false;
         }
         if connection.has_unread_bytes() {
             let balancer = connection.process.balancer;
-            let text = format!("b{balancer} wrote something on a connection without a request");
+            let text = format!("b{balancer} sent bytes on a connection without a request");
             let mut records = self.context.records.lock();
             let kernel = &mut self.runtime.simulation.state().kernel;
             records.report_violation(kernel, Rule::SecondAnswer, &[balancer as u64], text);
@@ -117,11 +118,11 @@
         Some(ClientConnection { process, bytes_written: 0, stream, reader: MessageReader::default() })
     }
 
-    /// Sends a request and waits for its answer.
+    /// Sends a request and waits for its response.
     ///
     /// # Errors
     ///
-    /// Fails where the connection ends before an answer begins.
+    /// Fails if the connection ends before the body of a response begins.
     pub(super) async fn exchange(
         &self,
         connection: &mut ClientConnection,
@@ -138,7 +139,7 @@
         tokio::pin!(response);
         let timed_out = async {
             self.runtime.sleep_micros(request.timeout + NETWORK_TOLERANCE + TIMEOUT_MARGIN).await;
-            // An answer that began in time may take as long as it does.
+            // A response that began in time has no time limit.
             while has_begun() {
                 self.runtime.sleep_micros(100 * MS).await;
             }
@@ -159,7 +160,7 @@
         Ok(outcome)
     }
 
-    /// Writes a request, slowly if it was drawn so; whether all of it could be written.
+    /// Writes a request, with a pause if it has one. Returns false if a write fails.
     async fn write_request(&self, connection: &mut ClientConnection, request: &OutgoingRequest) -> bool {
         let bytes = [request.head.as_bytes(), &request.body].concat();
         let mut rest = bytes.as_slice();
--- a/crates/simulation/src/client/request.rs
+++ b/crates/simulation/src/client/request.rs
@@ -1,4 +1,4 @@
-//! A request as one try of a client sends it.
+//! Draws the requests that clients send.
 
 use doorproxy::rng::{Pcg, mix};
 
@@ -10,7 +10,7 @@
 };
 use crate::time::{MS, Micros, SECOND};
 
-/// The class of a request and its retries, by the number of the request.
+/// Returns the request class for the number of a request, which its retries share.
 pub(super) fn class_of(seed: u64, number: u64) -> usize {
     match mix(seed ^ mix(number ^ 0xca7e)) % 10 {
         0..5 => IDEMPOTENT_CLASS,
@@ -19,28 +19,28 @@
     }
 }
 
-/// All that is drawn for one try.
+/// A request as sent in one try, with everything that is drawn for it.
 pub(super) struct OutgoingRequest {
-    /// Number of the try, which no other request has.
+    /// The unique number of the try.
     pub id: u64,
-    /// How long the client waits from the last byte on.
+    /// The time that the client waits after sending the last byte.
     pub timeout: Micros,
-    /// Request line and headers.
+    /// The request line and the headers.
     pub head: String,
-    /// The bytes after the head.
+    /// The request body.
     pub body: Vec<u8>,
-    /// How long after the last byte the client gives up.
+    /// The time after sending the last byte at which the client abandons the request, if it does.
     pub give_up_after: Option<Micros>,
-    /// How long it pauses when two thirds are written.
+    /// The pause after two thirds of the bytes, if there is one.
     pub write_pause: Option<Micros>,
     start_line: String,
     idempotency: Idempotency,
-    /// Seconds on a core of usual speed.
+    /// The work in seconds on a core with a speed factor of 1.
     work: f64,
 }
 
 impl OutgoingRequest {
-    /// Draws a try. The order of the draws is part of a seed.
+    /// Draws a request. The order of the draws must not change, or a seed would no longer give the same run.
     pub fn draw(context: &ClusterContext, rng: &mut Pcg, id: u64, number: u64) -> OutgoingRequest {
         let scenario = &context.scenario;
         let class = class_of(scenario.seed, number);
@@ -73,7 +73,7 @@
         OutgoingRequest { id, timeout, head, body, give_up_after, write_pause, start_line, idempotency, work }
     }
 
-    /// The request as the rules know it.
+    /// Returns the request as the checker records it.
     pub fn as_recorded(&self) -> ClientRequest {
         ClientRequest {
             idempotency: self.idempotency,
@@ -84,7 +84,7 @@
     }
 }
 
-/// A few have hardly any time.
+/// Draws the timeout of a request. Without a sidecar, one request in 16 has a short one.
 fn draw_timeout(rng: &mut Pcg, class: usize, uses_sidecar: bool) -> Micros {
     if random_below(rng, 16) == 0 && !uses_sidecar {
         (21 + random_below(rng, 40)) * MS
@@ -93,7 +93,7 @@
     }
 }
 
-/// Idempotent requests have no body; others have one that begins with the number of the try.
+/// Draws the body of a request. Idempotent requests have none; the body of any other begins with its number.
 fn draw_body(rng: &mut Pcg, class: usize, seed: u64, id: u64) -> Vec<u8> {
     if class == IDEMPOTENT_CLASS {
         return Vec::new();
--- a/crates/simulation/src/discovery_service.rs
+++ b/crates/simulation/src/discovery_service.rs
@@ -1,6 +1,7 @@
-//! The discovery service: snapshots and watches of the endpoint list, with the outages that a scenario gives it.
+//! The simulated discovery service: serves snapshots and watches of the endpoint list, with the faults that a
+//! scenario sets.
 //!
-//! It tells only what the endpoint list has, and records what it told whom.
+//! It records which entries each balancer has received, so that the checker knows what the balancer was told.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,17 +18,17 @@
 use crate::stream::SimulatedStream;
 use crate::time::{MS, Micros, SECOND};
 
-/// The service answers at both; balancers are told of the second when it has moved.
+/// The ports of the service. It serves both; balancers use the second once they are told that it has moved.
 pub const PORTS: [u16; 2] = [8500, 8501];
-/// How often balancers poll at the least; how long a watch waits follows from it.
+/// The longest interval between two polls of a balancer, which also determines how long a watch waits.
 pub const MAX_POLL_INTERVAL: Micros = 8 * SECOND;
 const BACKLOG: u32 = 64;
 
-/// What a balancer asks for.
+/// The query of a balancer's request.
 struct Query {
-    /// The version that it has.
+    /// The version that the balancer has.
     after: Option<u64>,
-    /// How long it watches for a newer one.
+    /// The time to wait for another version.
     wait: Option<Micros>,
 }
 
@@ -42,7 +43,7 @@
     }
 }
 
-/// What the list has for a balancer.
+/// The part of the endpoint list that is sent to a balancer.
 struct Update {
     version: u64,
     is_full: bool,
@@ -82,8 +83,8 @@
     Ok(())
 }
 
-/// Waits until the version differs, also from one that the list never had, or the time is over. False where the
-/// service goes down.
+/// Waits until the version of the list differs from `after`, or the time to wait is over. If the list never
+/// had the version `after`, it differs at once. Returns false if the service goes down.
 async fn wait_for_change(
     stream: &SimulatedStream,
     context: &ClusterContext,
@@ -124,7 +125,8 @@
     stream.write(&bytes).await
 }
 
-/// All entries that are listed, or what changed after a version that the list still knows.
+/// Selects the entries that changed since a version, or all listed entries if the changes since it are not
+/// known.
 fn select_update(context: &ClusterContext, after: Option<u64>) -> Update {
     let state = context.state();
     let known = after.filter(|after| (state.oldest_version..=state.version).contains(after));
@@ -146,7 +148,7 @@
     let servers: Vec<Value> = update.entries.iter().map(EndpointEntry::to_json).collect();
     let body = json!({ "version": update.version, "full": update.is_full, "servers": servers }).to_string();
     stream.write(&response("200 OK", "Content-Type: application/json\r\n", body.as_bytes())).await?;
-    // A balancer cannot know what a reset or a partition takes away, so the notice counts once it has been read.
+    // A reset or a partition can lose the response, so it is recorded only once the balancer has read it.
     while stream.runtime.simulation.state().network.has_bytes_in_flight(stream.socket) {
         stream.runtime.sleep_micros(MS).await;
     }
@@ -169,7 +171,7 @@
     }
 }
 
-/// The version with which a restarted service begins: far ahead, or one that it had before.
+/// Returns the first version of a restarted service: a far higher version, or a lower one that it had before.
 pub fn version_after_restart(version: u64, draw: u64) -> u64 {
     if draw.is_multiple_of(2) { version + 1000 + draw } else { (version / 2).max(1) }
 }
--- a/crates/simulation/src/upstream.rs
+++ b/crates/simulation/src/upstream.rs
@@ -1,6 +1,6 @@
-//! A test endpoint: cores, a queue, cached keys, a slow start, and the misbehaviour that a scenario gives it.
+//! A test endpoint with cores, a queue, cached keys, a slow start, and the faults that a scenario sets.
 //!
-//! It does what the protocol allows an endpoint, without knowing how balancers work.
+//! Apart from faults, it follows the protocol for endpoints and assumes nothing else about balancers.
 
 mod response;
 
@@ -20,20 +20,20 @@
 use crate::stream::SimulatedStream;
 use crate::time::{MS, Micros, SECOND};
 
-/// An idle connection is closed after this.
+/// The time after which an idle connection is closed.
 pub const KEEPALIVE_TIMEOUT: Micros = 6 * SECOND;
-/// What would wait longer is declined.
+/// The longest time in the queue. A request that would wait longer is declined.
 const MAX_QUEUE_TIME: Micros = 1500 * MS;
-/// What it accepts while it is short of connections.
+/// The maximum number of connections while the endpoint has the fault `Few`.
 const REDUCED_CONNECTION_LIMIT: usize = 2;
-/// A cached key spares this part of the work.
+/// The ratio of work that a request with a cached key needs.
 const CACHED_WORK_RATIO: f64 = 0.5;
 const MAX_CACHED_KEYS: usize = 64;
-/// A draining endpoint goes on accepting requests for so long.
+/// The time for which a draining endpoint still accepts requests.
 const DRAIN_ACCEPT_TIME: Micros = 500 * MS;
 const BACKLOG: u32 = 64;
 
-/// Whether a connection serves another request.
+/// The state of a connection after a request.
 #[derive(Clone, Copy, PartialEq)]
 enum ConnectionState {
     Open,
@@ -49,7 +49,7 @@
     open_connections: AtomicUsize,
 }
 
-/// Serves until the process ends; `start` is the index of this start in the records.
+/// Serves requests until the process ends. `start` is the index of this start in the records.
 pub async fn serve(runtime: SimulatedRuntime, context: Arc<ClusterContext>, server: usize, start: usize) {
     let (address, cores) = {
         let state = context.state();
@@ -125,7 +125,7 @@
         if self.has_fault(FaultKind::Brink) {
             return self.respond_at_deadline(stream, &request, request_id, attempt).await;
         }
-        // The effect happens at some point of the work.
+        // The request takes effect at a random point of its work.
         let before_effect = duration / 10 * simulation.state().random_below(10);
         stream.runtime.sleep_micros(before_effect).await;
         self.record_execution(stream, request_id, attempt);
@@ -134,7 +134,8 @@
         self.write_response(stream, request_id, &request.body).await
     }
 
-    /// Checks an attempt against the rules and triggers the faults that wait for it. None where it is not served.
+    /// Records an attempt, which checks it against the rules, and triggers the faults that wait for it.
+    /// Returns `None` if it is not served.
     fn record_arrival(
         &self,
         stream: &SimulatedStream,
@@ -171,7 +172,8 @@
         draining_since.is_some_and(|since| self.context.simulation.now() > since + DRAIN_ACCEPT_TIME)
     }
 
-    /// How long the request takes from now on, with its time in the queue; None where it is declined.
+    /// Returns the time until the request is done, including its time in the queue, or `None` if it is
+    /// declined.
     fn admit(&self, work: f64, key: Option<&str>) -> Option<Micros> {
         if self.has_fault(FaultKind::Full) {
             return None;
@@ -196,7 +198,7 @@
         Some(*free_at - now)
     }
 
-    /// Caches a key; whether it was cached before.
+    /// Caches a key, and returns whether it was cached before.
     fn touch_key(&self, key: &str) -> bool {
         let mut cached_keys = self.cached_keys.lock().expect("no panic while keys are locked");
         let was_cached = !cached_keys.insert(key.to_string());
@@ -237,7 +239,7 @@
         records.record_executed(&mut stream.runtime.simulation.state().kernel, request_id, attempt);
     }
 
-    /// Answers so that it arrives as the balancer stops waiting.
+    /// Sends the response so that it arrives at about the time at which the balancer's timeout expires.
     async fn respond_at_deadline(
         &self,
         stream: &SimulatedStream,
--- a/crates/simulation/src/upstream/response.rs
+++ b/crates/simulation/src/upstream/response.rs
@@ -1,4 +1,4 @@
-//! The answers of an endpoint, whole or malformed.
+//! The responses of an endpoint, both valid and malformed.
 
 use std::io;
 
@@ -9,11 +9,11 @@
 use crate::stream::SimulatedStream;
 use crate::time::{MS, SECOND};
 
-/// The ways in which an answer can be malformed.
+/// The number of variants of malformed responses.
 const MALFORMED_VARIANTS: u64 = 8;
 
 impl Server {
-    /// Answers a request that was executed.
+    /// Writes the response to a request that was executed.
     pub(super) async fn write_response(
         &self,
         stream: &SimulatedStream,
@@ -28,14 +28,14 @@
         }
         stream.write(&whole).await?;
         if self.has_fault(FaultKind::Rude) {
-            let stay_ms = stream.runtime.simulation.state().random_below(3);
-            stream.runtime.sleep_micros(stay_ms * MS).await;
-            return Ok(if stay_ms > 1 { ConnectionState::Open } else { ConnectionState::Closing });
+            let delay_ms = stream.runtime.simulation.state().random_below(3);
+            stream.runtime.sleep_micros(delay_ms * MS).await;
+            return Ok(if delay_ms > 1 { ConnectionState::Open } else { ConnectionState::Closing });
         }
         Ok(ConnectionState::Open)
     }
 
-    /// Names the request; a long body also says its own length.
+    /// Builds a body that names the request. A long body also states its own length.
     fn response_body(&self, request_id: u64, request_body: &[u8]) -> Vec<u8> {
         let mut body = format!("{request_id:x} did {} bytes", request_body.len()).into_bytes();
         if let Some(length) = long_response_body_bytes(self.context.scenario.seed, request_id) {
@@ -53,7 +53,7 @@
     ) -> io::Result<ConnectionState> {
         let simulation = &stream.runtime.simulation;
         let variant = simulation.state().random_below(MALFORMED_VARIANTS);
-        self.context.records.lock().outcomes.increment(&format!("spoilt answer {variant}"));
+        self.context.records.lock().outcomes.increment(&format!("malformed response {variant}"));
         match variant {
             _ if is_streamed => stream.write(&whole[..whole.len() * 2 / 3]).await?,
             0 => stream.write(&whole[..whole.len() - 3]).await?,
@@ -63,14 +63,15 @@
                 stream.runtime.sleep_micros(3 * SECOND).await;
             }
             3 => {
-                // A second answer, which must not become that of the next request. In one piece: if it were still on
-                // its way when the next request is written, nobody could tell it from that request's answer.
+                // A second response, which must not be taken for the response to the next request. Both are
+                // sent as one segment: if the second were still in transit when the next request is written,
+                // it could not be told from the response to that request.
                 let both = [whole, response("200 OK", "", b"0 of nobody")].concat();
                 simulation.state().send_unsplit(stream.socket, both);
                 return Ok(ConnectionState::Open);
             }
             4 => {
-                // More than any balancer accepts.
+                // A body that is longer than any balancer accepts.
                 stream.write(b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n").await?;
                 stream.write(&vec![b'x'; 80 << 10]).await?;
             }
