--- a/crates/simulation/src/cluster.rs
+++ b/crates/simulation/src/cluster.rs
@@ -1,5 +1,5 @@
-//! The cluster of one run: it starts the processes, injects the faults, and checks at the end that nothing is left. It
-//! does not reach into a process that runs.
+//! The cluster of one run: starts the processes, injects the faults, and checks at the end that no work or
+//! resource is left. It doesn't change the state of a running process from outside.
 
 mod admin;
 mod balancers;
@@ -30,21 +30,21 @@
 const HARNESS_HOST: HostId = HostId(9);
 const DISCOVERY_HOST: HostId = HostId(10);
 const FIRST_SERVER_HOST: u32 = 20;
-/// Where balancers and, at first, endpoints listen.
+/// The port that balancers listen on, and endpoints until a drain moves them to another port.
 const SERVICE_PORT: u16 = 5000;
-/// The version of the endpoint list before any entry.
+/// The version of the empty endpoint list.
 const INITIAL_VERSION: u64 = 40;
 
 /// A cluster and its clients.
 pub struct Cluster {
-    /// What its processes share.
+    /// The state that the cluster's processes share.
     pub context: Arc<ClusterContext>,
     mutant: Option<Mutant>,
     clients: Mutex<Vec<Arc<Client>>>,
 }
 
 impl Cluster {
-    /// Starts the processes of a scenario and schedules its load and its faults.
+    /// Starts the processes of a scenario and schedules its requests and faults.
     pub fn start(scenario: &Scenario, mutant: Option<Mutant>, keeps_trace_text: bool) -> Arc<Cluster> {
         let simulation = Simulation::new(mix(scenario.seed ^ 0x5eed), keeps_trace_text);
         {
@@ -102,13 +102,13 @@
         }
     }
 
-    /// Acts on the cluster after a delay, in a task of its own.
+    /// Calls `act` with the cluster after a delay, in a separate task.
     fn schedule_after(self: &Arc<Cluster>, delay: Micros, act: impl FnOnce(&Arc<Cluster>) + Send + 'static) {
         let cluster = self.clone();
         self.context.schedule_after(delay, move || act(&cluster));
     }
 
-    /// Takes back what a process held, and then drops its tasks.
+    /// Resets a process's connections, closes its listeners, and then drops its tasks.
     fn kill_process(&self, runtime: Option<SimulatedRuntime>) {
         if let Some(runtime) = runtime {
             self.context.simulation.state().close_process_sockets(runtime.process);
@@ -130,12 +130,12 @@
         self.clients().clear();
     }
 
-    /// Closes the connections that clients keep.
+    /// Closes the idle connections that clients keep.
     pub fn close_client_connections(&self) {
         self.clients().iter().for_each(|client| client.close_idle_connections());
     }
 
-    /// Asks every balancer to end.
+    /// Asks every balancer to shut down.
     pub fn shut_down_balancers(self: &Arc<Cluster>) {
         for balancer in 0..self.context.scenario.balancers as usize {
             self.request_shutdown(balancer);
@@ -162,7 +162,8 @@
     }
 }
 
-/// Endpoints of a kind have as many cores, and differ a little in speed.
+/// Creates an endpoint. Endpoints of one kind have the same number of cores, and their speeds differ a
+/// little.
 fn new_server(rng: &mut Pcg, index: u32, kinds: u64) -> UpstreamServer {
     let host = HostId(FIRST_SERVER_HOST + index);
     let kind = random_below(rng, kinds) as u32;
--- a/crates/simulation/src/cluster/admin.rs
+++ b/crates/simulation/src/cluster/admin.rs
@@ -1,4 +1,4 @@
-//! Calls of a balancer's admin API.
+//! Calls to a balancer's admin API.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,13 +12,13 @@
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A change of a balancer's manual ejections.
+/// A call that sets or clears a manual ejection at a balancer.
 pub(super) struct EjectionCall {
-    /// Index of the balancer.
+    /// The index of the balancer.
     pub balancer: usize,
-    /// Name of the endpoint.
+    /// The name of the endpoint.
     pub server: String,
-    /// Whether it is ejected or taken back.
+    /// True to eject the endpoint, false to clear its ejection.
     pub is_ejected: bool,
 }
 
@@ -27,7 +27,7 @@
         if self.is_ejected { "detach" } else { "attach" }
     }
 
-    /// Makes the call and returns the status; 0 without an answer.
+    /// Sends the call and returns the status of the response, or 0 without one.
     async fn send(&self, context: &ClusterContext) -> u16 {
         let address = admin_address(&context.state().balancers[self.balancer]);
         let EjectionCall { server, .. } = self;
@@ -47,14 +47,15 @@
 }
 
 impl Cluster {
-    /// Ejects an endpoint manually at a balancer, or takes that back. It counts once the balancer has confirmed it.
+    /// Ejects an endpoint manually at a balancer, or clears the ejection. The change is recorded once the
+    /// balancer has confirmed it.
     pub(super) fn request_manual_ejection(self: &Arc<Cluster>, call: EjectionCall) {
         let context = self.context.clone();
         let process = context.harness_runtime.process;
         self.context.simulation.spawn(process, async move {
             let status = call.send(&context).await;
             let mut records = context.records.lock();
-            records.outcomes.increment(&format!("by hand {}: {status}", call.command()));
+            records.outcomes.increment(&format!("manual ejection, {}: {status}", call.command()));
             if status == 200 {
                 let now = context.simulation.now();
                 records.record_manual_ejection(now, call.balancer, &call.server, call.is_ejected);
--- a/crates/simulation/src/cluster/balancers.rs
+++ b/crates/simulation/src/cluster/balancers.rs
@@ -1,4 +1,4 @@
-//! Starts, kills, restarts and ends balancers and sidecars.
+//! Starts, kills, restarts and shuts down balancers and sidecars.
 
 use std::sync::Arc;
 
@@ -15,18 +15,18 @@
 use crate::time::{MS, Micros};
 use crate::trace::EventKind;
 
-/// How long clients go on choosing a balancer that was killed.
+/// The time for which clients still choose a killed balancer.
 const KILLED_ROTATION_LAG: Micros = 1200 * MS;
-/// How long they go on choosing one that was asked to end.
+/// The time for which clients still choose a balancer that was asked to shut down.
 const SHUTDOWN_ROTATION_LAG: Micros = 300 * MS;
-/// How soon they choose one that started.
+/// The time after which clients choose a started balancer.
 const START_ROTATION_LAG: Micros = 50 * MS;
-/// How long a balancer may take to end.
+/// The time that a balancer may take to shut down.
 pub(super) const SHUTDOWN_GRACE: Micros = 3000 * MS;
 const ADMIN_BACKLOG: u32 = 64;
 const ADMIN_SEND_BUFFER_BYTES: u32 = 1 << 16;
 
-/// A process that is about to run.
+/// A process that has been created but has no tasks yet.
 struct StartingProcess {
     runtime: SimulatedRuntime,
     shutdown_requested: Arc<Notify>,
@@ -79,7 +79,7 @@
             Ok(listener) => {
                 self.context.simulation.spawn(runtime.process, admin::serve(listener, admin_api));
             }
-            Err(error) => unreachable!("nobody else listens at a balancer's host: {error}"),
+            Err(error) => unreachable!("no other process listens on a balancer's host: {error}"),
         }
         let grace = Ticks((SHUTDOWN_GRACE / 100) as i64);
         let cluster = self.clone();
@@ -90,7 +90,7 @@
             let result = serve.await;
             let BalancerProcess { balancer, start } = process;
             let numbers = [balancer as u64, u64::from(start), u64::from(result.is_err())];
-            let line = format_args!("b{balancer} ended: {result:?}");
+            let line = format_args!("b{balancer} exited: {result:?}");
             runtime.simulation.state().kernel.record_event(EventKind::BalancerEnded, &numbers, line);
             cluster.schedule_after(0, move |cluster| cluster.on_balancer_ended(process));
         });
@@ -139,13 +139,14 @@
         self.context.records.lock().forget_balancer(process.balancer);
     }
 
-    /// Kills a balancer's process for one more cause.
+    /// Kills a balancer's process, if it runs, and adds one fault that keeps the balancer down.
     pub(super) fn kill_balancer(self: &Arc<Cluster>, index: usize) {
         let runtime = self.take_balancer(index);
         self.remove_balancer(index, runtime);
     }
 
-    /// The same, and the machine loses power before, so that nothing of the process leaves it.
+    /// Like [`Cluster::kill_balancer`], but powers off the host first, so that the process sends nothing
+    /// more.
     pub(super) fn power_off_balancer(self: &Arc<Cluster>, index: usize) {
         let runtime = self.take_balancer(index);
         let host = self.context.state().balancers[index].host;
@@ -175,7 +176,7 @@
         });
     }
 
-    /// Takes back one cause for a balancer to be down, and starts it when there is none left.
+    /// Removes one fault that keeps a balancer down, and starts the balancer if there is no other.
     pub(super) fn restart_balancer(self: &Arc<Cluster>, index: usize) {
         let host = {
             let mut state = self.context.state();
@@ -192,7 +193,7 @@
         }
     }
 
-    /// Asks a balancer's process to end.
+    /// Asks a balancer's process to shut down.
     pub(super) fn request_shutdown(self: &Arc<Cluster>, index: usize) {
         {
             let mut state = self.context.state();
--- a/crates/simulation/src/cluster/config.rs
+++ b/crates/simulation/src/cluster/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of each balancer and sidecar.
+//! Builds the configuration of each balancer and sidecar.
 
 use std::net::SocketAddr;
 
@@ -18,9 +18,9 @@
 use crate::time::{MS, Micros, SECOND};
 use crate::upstream::KEEPALIVE_TIMEOUT;
 
-/// Where a balancer's admin API listens.
+/// The port of a balancer's admin API.
 pub(super) const ADMIN_PORT: u16 = 9800;
-/// The tenant of every request may send so many times the load.
+/// The ratio of the quota of the only tenant to the rate of the load.
 const QUOTA_FACTOR: f64 = 4.0;
 
 fn seconds(time: Micros) -> f64 {
@@ -31,17 +31,17 @@
     format!("{}ms", time / MS)
 }
 
-/// The seed of a balancer's process.
+/// Returns the seed of a balancer's process.
 pub(super) fn process_seed(context: &ClusterContext, index: usize, start: u32) -> u64 {
     mix(context.scenario.seed ^ (index as u64) << 32 ^ u64::from(start))
 }
 
-/// The address of a balancer's admin API.
+/// Returns the address of a balancer's admin API.
 pub(super) fn admin_address(balancer: &BalancerNode) -> SocketAddr {
     SocketAddr::new(balancer.address.ip(), ADMIN_PORT)
 }
 
-/// The configuration of a balancer, with the endpoint list as it is now.
+/// Builds the configuration of a balancer, with the current endpoint list.
 pub(super) fn balancer_config(context: &ClusterContext, index: usize) -> Value {
     let state = context.state();
     let balancer = &state.balancers[index];
@@ -99,7 +99,7 @@
     vec![class(IDEMPOTENT_CLASS, "pure"), deduplicated, class(NON_IDEMPOTENT_CLASS, "side_effect")]
 }
 
-/// The file of a sidecar: the same request classes, and the endpoints as they are now.
+/// Builds the configuration file of a sidecar, with the same request classes and the current endpoints.
 pub(super) fn sidecar_config(context: &ClusterContext, index: usize) -> String {
     let state = context.state();
     let address = state.balancers[index].address;
@@ -144,7 +144,8 @@
 fn sidecar_server(server: &UpstreamServer) -> String {
     let UpstreamServer { name, address, zone, cell, kind, .. } = server;
     format!(
-        "{{ name = \"{name}\", address = \"{address}\", zone = \"{zone}\", cell = {cell}, kind = \"{kind}\" }},\n"
+        "{{ name = \"{name}\", address = \"{address}\", zone = \"{zone}\", \
+         cell = {cell}, kind = \"{kind}\" }},\n"
     )
 }
 
--- a/crates/simulation/src/cluster/discovery.rs
+++ b/crates/simulation/src/cluster/discovery.rs
@@ -9,7 +9,7 @@
 use crate::runtime::SimulatedRuntime;
 
 impl Cluster {
-    /// Starts discovery at its addresses.
+    /// Starts the discovery service on both of its ports.
     pub(super) fn start_discovery(self: &Arc<Cluster>) {
         let address = self.context.state().discovery_address;
         let runtime = SimulatedRuntime::new(&self.context.simulation, host_of(address), "list");
--- a/crates/simulation/src/cluster/faults.rs
+++ b/crates/simulation/src/cluster/faults.rs
@@ -1,4 +1,4 @@
-//! What each kind of fault does to the cluster, and how it ends.
+//! Injects each kind of fault into the cluster, and ends it.
 
 mod balancer_faults;
 mod discovery_faults;
@@ -18,13 +18,13 @@
 use crate::time::{MS, Micros, SECOND};
 use crate::trace::EventKind;
 
-/// A fault is felt for so long after its end.
-const AFTERMATH: Micros = SECOND;
-/// Faults that begin so near to each other begin together.
-const TOGETHER: Micros = 100 * MS;
-/// Requests of one storm.
+/// The time after the end of a fault during which other faults still count as overlapping it.
+const OVERLAP_MARGIN: Micros = SECOND;
+/// The longest time between the beginnings of two faults that count as simultaneous.
+const SIMULTANEOUS_WINDOW: Micros = 100 * MS;
+/// The maximum number of requests in one storm.
 const MAX_STORM_REQUESTS: u64 = 600;
-/// The numbers of a storm's requests begin at its number, shifted by this.
+/// The shift that makes the number of a storm the first number of its requests.
 const STORM_NUMBER_SHIFT: u32 = 24;
 
 impl FaultInjector for Cluster {
@@ -53,20 +53,20 @@
             | FaultKind::Spoil
             | FaultKind::Rude
             | FaultKind::Brink
-            | FaultKind::Few => self.misbehave(fault),
+            | FaultKind::Few => self.set_server_fault(fault),
             FaultKind::Deaf => self.ignore_connections(fault),
             FaultKind::Late => self.delay_accepts(fault),
             FaultKind::Drain => self.drain_server(fault),
-            FaultKind::LoseZone => self.lose_zone(fault),
+            FaultKind::LoseZone => self.power_off_zone(fault),
             FaultKind::AllCold => self.restart_all_servers(),
             FaultKind::PutOut => self.eject_manually(fault),
             FaultKind::ListDown => self.stop_discovery(fault),
-            FaultKind::ListMute | FaultKind::ListNonsense => self.disturb_discovery(fault),
+            FaultKind::ListMute | FaultKind::ListNonsense => self.set_discovery_fault(fault),
             FaultKind::ListLate => self.delay_discovery(fault),
             FaultKind::ListJump => self.restart_versions(),
-            FaultKind::Cut | FaultKind::OneWay | FaultKind::CutList => self.cut_paths(fault),
-            FaultKind::KillBalancer => self.kill_balancer_for(fault),
-            FaultKind::EndBalancer => self.end_balancer(fault),
+            FaultKind::Cut | FaultKind::OneWay | FaultKind::CutList => self.partition_paths(fault),
+            FaultKind::KillBalancer => self.kill_balancer_temporarily(fault),
+            FaultKind::EndBalancer => self.restart_balancer_gracefully(fault),
             FaultKind::Reload => self.move_discovery(fault),
             FaultKind::Stutter => self.starve_balancer(fault),
             FaultKind::Storm => self.send_storm(fault),
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Ends a fault after its duration. Where this is called decides the order of what is due at one time.
+    /// Ends a fault after its duration. Events that are due at the same time happen in the order in which
+    /// they were scheduled, so moving a call of this method changes a run.
     fn schedule_end(
         self: &Arc<Cluster>,
         fault: Fault,
@@ -98,17 +99,19 @@
         fault.target as usize % self.context.scenario.balancers as usize
     }
 
-    /// Records which faults overlap, and the hard cases that this makes.
+    /// Records an injected fault, and the hard cases that arise where it overlaps others.
     fn record_overlap(&self, kind: FaultKind, now: Micros, duration: Micros) {
         let overlapping: Vec<AppliedFault> = {
             let mut state = self.context.state();
-            let felt = state.applied_faults.iter().filter(|applied| applied.end + AFTERMATH >= now);
-            let felt = felt.copied().collect();
+            let recent = state.applied_faults.iter().filter(|applied| applied.end + OVERLAP_MARGIN >= now);
+            let recent = recent.copied().collect();
             state.applied_faults.push(AppliedFault { kind, start: now, end: now + duration });
-            felt
+            recent
         };
         let began_with = |other: FaultKind| {
-            overlapping.iter().any(|applied| applied.kind == other && now - applied.start <= TOGETHER)
+            overlapping
+                .iter()
+                .any(|applied| applied.kind == other && now - applied.start <= SIMULTANEOUS_WINDOW)
         };
         let is_outage_with_zone_loss = match kind {
             FaultKind::ListDown => began_with(FaultKind::LoseZone),
@@ -125,7 +128,7 @@
         }
     }
 
-    /// Sends many requests beside the load, each on a connection of its own.
+    /// Sends many requests in addition to the load, each on a connection of its own.
     fn send_storm(&self, fault: Fault) {
         let now = self.context.simulation.now();
         let scenario = &self.context.scenario;
--- a/crates/simulation/src/cluster/faults/balancer_faults.rs
+++ b/crates/simulation/src/cluster/faults/balancer_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of balancers.
+//! Injects faults of balancers.
 
 use std::sync::Arc;
 
@@ -8,18 +8,18 @@
 use crate::scenario::Fault;
 use crate::time::{MS, Micros};
 
-/// A balancer that still runs so long after its grace does not end.
+/// The time after its grace period by which a balancer must have exited.
 const SHUTDOWN_MARGIN: Micros = 800 * MS;
 
 impl Cluster {
-    pub(super) fn kill_balancer_for(self: &Arc<Cluster>, fault: Fault) {
+    pub(super) fn kill_balancer_temporarily(self: &Arc<Cluster>, fault: Fault) {
         let balancer = self.target_balancer(&fault);
         self.kill_balancer(balancer);
         self.schedule_end(fault, move |cluster| cluster.restart_balancer(balancer));
     }
 
-    /// Asks a balancer to end, and starts it again once its grace is over.
-    pub(super) fn end_balancer(self: &Arc<Cluster>, fault: Fault) {
+    /// Asks a balancer to shut down, checks that it exits within its grace period, and starts it again.
+    pub(super) fn restart_balancer_gracefully(self: &Arc<Cluster>, fault: Fault) {
         let balancer = self.target_balancer(&fault);
         self.request_shutdown(balancer);
         self.context.state().balancers[balancer].down_count += 1;
@@ -37,14 +37,14 @@
             node.runtime.is_some() && node.is_shutting_down
         };
         if is_still_running {
-            let text = format!("b{balancer} was asked to end and still runs");
+            let text = format!("b{balancer} was asked to shut down and is still running");
             let mut records = self.context.records.lock();
             let mut state = self.context.simulation.state();
             records.report_violation(&mut state.kernel, Rule::NeverEnded, &[balancer as u64], text);
         }
     }
 
-    /// Gives a balancer too little of its core.
+    /// Starves a balancer of CPU time.
     pub(super) fn starve_balancer(self: &Arc<Cluster>, fault: Fault) {
         let balancer = self.target_balancer(&fault);
         let Some(runtime) = self.context.state().balancers[balancer].runtime.clone() else { return };
--- a/crates/simulation/src/cluster/faults/discovery_faults.rs
+++ b/crates/simulation/src/cluster/faults/discovery_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of discovery.
+//! Injects faults of discovery.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use crate::scenario::Fault;
 use crate::time::{Micros, SECOND};
 
-/// The draw for a version after a restart is below this.
+/// The exclusive upper bound of the random number that determines the version after a restart.
 const VERSION_DRAW_LIMIT: u64 = 1000;
 
 impl Cluster {
@@ -28,8 +28,8 @@
         });
     }
 
-    /// Faults that the service looks up where it answers.
-    pub(super) fn disturb_discovery(self: &Arc<Cluster>, fault: Fault) {
+    /// Sets a fault that the discovery service looks up when it responds.
+    pub(super) fn set_discovery_fault(self: &Arc<Cluster>, fault: Fault) {
         *self.context.state().discovery_faults.entry(fault.kind).or_default() += 1;
         self.schedule_end(fault, move |cluster| {
             *cluster.context.state().discovery_faults.entry(fault.kind).or_default() -= 1;
@@ -42,7 +42,7 @@
         self.schedule_end(fault, move |cluster| cluster.context.state().discovery_delay -= delay);
     }
 
-    /// Lets the versions of the list begin somewhere else.
+    /// Moves the version of the endpoint list forwards or backwards, as a restarted discovery service does.
     pub(super) fn restart_versions(&self) {
         let draw = self.context.simulation.state().random_below(VERSION_DRAW_LIMIT);
         {
@@ -53,7 +53,7 @@
         self.context.endpoints_changed.notify_waiters();
     }
 
-    /// Tells one balancer that discovery has moved; the old address goes on serving the others.
+    /// Tells one balancer that discovery has moved. The service still responds at the old address.
     pub(super) fn move_discovery(&self, fault: Fault) {
         let state = self.context.state();
         let balancer = &state.balancers[self.target_balancer(&fault)];
--- a/crates/simulation/src/cluster/faults/network_faults.rs
+++ b/crates/simulation/src/cluster/faults/network_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the network.
+//! Injects faults of the network.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use crate::scenario::{Fault, FaultKind};
 use crate::time::{MS, Micros};
 
-/// A path from one host to another.
+/// A path in one direction between two hosts.
 #[derive(Clone, Copy)]
 struct Path {
     from: HostId,
@@ -21,7 +21,7 @@
 }
 
 impl Cluster {
-    pub(super) fn cut_paths(self: &Arc<Cluster>, fault: Fault) {
+    pub(super) fn partition_paths(self: &Arc<Cluster>, fault: Fault) {
         let paths = self.paths_of(&fault);
         for path in &paths {
             self.context.simulation.state().partition(path.from, path.to);
--- a/crates/simulation/src/cluster/faults/server_faults.rs
+++ b/crates/simulation/src/cluster/faults/server_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of endpoints.
+//! Injects faults of endpoints.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use crate::scenario::{Fault, FaultKind, Trigger, TriggerEvent};
 use crate::time::{MS, Micros};
 
-/// How soon an endpoint that was stopped in good order is back.
+/// The time after which an endpoint that was drained, or stopped with all others, is restarted.
 const RESTART_DELAY: Micros = 300 * MS;
 
 impl Cluster {
@@ -47,8 +47,8 @@
         });
     }
 
-    /// Faults that an endpoint looks up where it answers.
-    pub(super) fn misbehave(self: &Arc<Cluster>, fault: Fault) {
+    /// Sets a fault that an endpoint looks up when it responds.
+    pub(super) fn set_server_fault(self: &Arc<Cluster>, fault: Fault) {
         let server = self.target_server(&fault);
         *self.context.state().servers[server].active_faults.entry(fault.kind).or_default() += 1;
         self.schedule_end(fault, move |cluster| {
@@ -76,7 +76,7 @@
         });
     }
 
-    /// Drains an endpoint that runs, stops it, and starts its successor at another port.
+    /// Drains a running endpoint, stops it, and starts its replacement on another port.
     pub(super) fn drain_server(self: &Arc<Cluster>, fault: Fault) {
         let server = self.target_server(&fault);
         if self.context.state().servers[server].runtime.is_none() {
@@ -100,8 +100,8 @@
         });
     }
 
-    /// Takes the power from a zone's endpoints and, half of the time, from its balancers.
-    pub(super) fn lose_zone(self: &Arc<Cluster>, fault: Fault) {
+    /// Powers off a zone's endpoints and, in half of the cases, its balancers.
+    pub(super) fn power_off_zone(self: &Arc<Cluster>, fault: Fault) {
         let zone = fault.target % 2;
         let with_balancers =
             self.context.simulation.state().random_below(2) == 0 && self.context.scenario.balancers > 1;
--- a/crates/simulation/src/cluster/servers.rs
+++ b/crates/simulation/src/cluster/servers.rs
@@ -1,4 +1,4 @@
-//! Starts, stops and restarts endpoints, and keeps the endpoint list.
+//! Starts, stops and restarts endpoints, and updates the endpoint list.
 
 use std::sync::Arc;
 
@@ -9,20 +9,20 @@
 use crate::time::{MS, Micros};
 use crate::upstream;
 
-/// How soon the endpoint list has an endpoint that started.
+/// The time after which the endpoint list has a started endpoint.
 const DISCOVERY_LAG: Micros = 200 * MS;
 
-/// What an endpoint is called when it comes back.
+/// The name of a restarted endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RestartName {
-    /// As before.
+    /// The name that it had before.
     Same,
-    /// By a new name, at the same machine.
+    /// A new name, on the same host.
     New,
 }
 
 impl Cluster {
-    /// Starts an endpoint; without a time it counts as warm, and as listed already.
+    /// Starts an endpoint. Without a start time it counts as warmed up and is listed at once.
     pub(super) fn start_server(self: &Arc<Cluster>, index: usize, started_at: Option<Micros>) {
         let (runtime, start) = {
             let mut state = self.context.state();
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Lists an endpoint as it is now. One that does not run is not listed as active.
+    /// Updates the list entry of an endpoint. An endpoint that isn't running is not listed as active.
     pub(super) fn update_endpoint(&self, index: usize, endpoint_state: EndpointState) {
         {
             let mut state = self.context.state();
@@ -73,13 +73,14 @@
         self.context.endpoints_changed.notify_waiters();
     }
 
-    /// Ends an endpoint's process for one more cause; the endpoint list does not learn of it.
+    /// Kills an endpoint's process, if it runs, and adds one fault that keeps the endpoint down. The endpoint
+    /// list does not change.
     pub(super) fn stop_server(&self, index: usize) {
         let runtime = self.take_server(index);
         self.kill_process(runtime);
     }
 
-    /// The same, and the machine loses power before, so that nothing of the process leaves it.
+    /// Like [`Cluster::stop_server`], but powers off the host first, so that the process sends nothing more.
     pub(super) fn power_off_server(&self, index: usize) {
         let runtime = self.take_server(index);
         let host = self.context.state().servers[index].host;
@@ -94,7 +95,7 @@
         server.runtime.take()
     }
 
-    /// Takes back one cause for an endpoint to be down, and starts it when there is none left.
+    /// Removes one fault that keeps an endpoint down, and starts the endpoint if there is no other.
     pub(super) fn restart_server(self: &Arc<Cluster>, index: usize, name: RestartName) {
         let host = {
             let mut state = self.context.state();
--- a/crates/simulation/src/context.rs
+++ b/crates/simulation/src/context.rs
@@ -1,7 +1,7 @@
-//! What the processes of a run share: the simulation, the records, and the state of the cluster with its look-ups.
+//! The context that the processes of a run share: the simulation, the records and the state of the cluster.
 //!
-//! Clients, endpoints, discovery and mutants read the cluster through [`ClusterContext`]; only [`crate::cluster`] starts
-//! and ends processes.
+//! Clients, endpoints, discovery and mutants access the cluster through [`ClusterContext`]. Only
+//! [`crate::cluster`] starts and ends processes.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, Weak};
@@ -20,30 +20,30 @@
 use crate::simulation::Simulation;
 use crate::time::{MS, Micros, SECOND};
 
-/// The first request is sent no sooner.
+/// The earliest time of a request.
 pub const LOAD_START: Micros = 500 * MS;
-/// A killed balancer may be why a client's next try went through another for so long.
+/// The time after the kill of a balancer during which a retry through another counts as caused by it.
 const RECENT_KILL: Micros = 3 * SECOND;
 
-/// Begins faults.
+/// Injects faults into the cluster.
 pub trait FaultInjector: Send + Sync {
-    /// Begins a fault now.
+    /// Injects a fault at once.
     fn inject_fault(self: Arc<Self>, fault: Fault);
 }
 
-/// Among which endpoints repeats of a deduplicated request are dropped.
+/// The group of endpoints within which a deduplicated request is executed only once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// All.
+    /// All endpoints.
     Fleet,
-    /// Those of a zone.
+    /// The endpoints of a zone.
     Zone,
-    /// Those of a cell.
+    /// The endpoints of a cell.
     Cell,
 }
 
 impl DedupScope {
-    /// The word that configurations use.
+    /// Returns the name of the scope in configurations.
     pub fn name(self) -> &'static str {
         match self {
             DedupScope::Fleet => "all",
@@ -53,33 +53,33 @@
     }
 }
 
-/// A balancer that clients choose.
+/// A balancer that clients may choose.
 #[derive(Clone, Copy)]
 pub struct RotationEntry {
     /// Its current process.
     pub process: BalancerProcess,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
 }
 
-/// A cluster as its processes see it.
+/// The context of a cluster, shared by its processes.
 pub struct ClusterContext {
-    /// The run.
+    /// The simulation that the cluster runs in.
     pub simulation: Simulation,
-    /// What happened, for the rules.
+    /// The records that the checker applies the rules to.
     pub records: Arc<SharedRecords>,
-    /// The scenario.
+    /// The scenario of the run.
     pub scenario: Scenario,
-    /// Notified when the endpoint list changes.
+    /// The notification of changes of the endpoint list.
     pub endpoints_changed: Notify,
-    /// The process of the cluster itself.
+    /// The process that runs the tasks of the test harness.
     pub harness_runtime: SimulatedRuntime,
     state: Mutex<ClusterState>,
     fault_injector: OnceLock<Weak<dyn FaultInjector>>,
 }
 
 impl ClusterContext {
-    /// A cluster in which nothing runs yet.
+    /// Creates the context of a cluster whose processes have not been started.
     pub fn new(
         simulation: Simulation,
         harness_runtime: SimulatedRuntime,
@@ -97,27 +97,27 @@
         }
     }
 
-    /// Sets who begins the faults that wait for an event. Only the first call counts.
+    /// Sets the injector for faults that wait for a trigger event. Only the first call has an effect.
     pub fn set_fault_injector(&self, injector: Weak<dyn FaultInjector>) {
         let _ = self.fault_injector.set(injector);
     }
 
-    /// The state. The lock is not re-entrant: no stream may be dropped while it is held.
+    /// Locks the state. The lock is not re-entrant: no stream may be dropped while it is held.
     ///
     /// # Panics
     ///
-    /// Panics after a panic of another holder.
+    /// Panics if another holder of the lock has panicked.
     pub fn state(&self) -> MutexGuard<'_, ClusterState> {
         self.state.lock().expect("no panic while the cluster is locked")
     }
 
-    /// When the last request of the load is sent.
+    /// Returns the time by which every request of the load has been sent.
     pub fn load_end(&self) -> Micros {
         let seconds = f64::from(self.scenario.requests.1) / self.scenario.requests_per_second;
         LOAD_START + (seconds * SECOND as f64) as Micros
     }
 
-    /// Acts after a delay, in a task of its own, even where the delay is 0.
+    /// Calls `act` after a delay, always in a separate task, even if the delay is 0.
     pub fn schedule_after(&self, delay: Micros, act: impl FnOnce() + Send + 'static) {
         let sleep = self.simulation.sleep(delay);
         self.simulation.spawn(self.harness_runtime.process, async move {
@@ -126,32 +126,32 @@
         });
     }
 
-    /// Index of the balancer at a host.
+    /// Returns the index of the balancer on a host.
     pub fn balancer_at(&self, host: HostId) -> Option<usize> {
         self.state().balancers.iter().position(|balancer| balancer.host == host)
     }
 
-    /// Index of the endpoint at the host of an address, whatever the port.
+    /// Returns the index of the endpoint on the host of an address, whatever the port.
     pub fn server_at_address(&self, address: SocketAddr) -> Option<usize> {
         self.server_on_host(host_of(address))
     }
 
-    /// Index of the endpoint at a host.
+    /// Returns the index of the endpoint on a host.
     pub fn server_on_host(&self, host: HostId) -> Option<usize> {
         self.state().servers.iter().position(|server| server.host == host)
     }
 
-    /// Where the endpoint of that name listens.
+    /// Returns the address of the endpoint with a name.
     pub fn server_address_by_name(&self, name: &str) -> Option<SocketAddr> {
         self.state().servers.iter().find(|server| server.name == name).map(|server| server.address)
     }
 
-    /// Where an endpoint listens.
+    /// Returns the address of an endpoint.
     pub fn server_address(&self, server: usize) -> SocketAddr {
         self.state().servers[server].address
     }
 
-    /// The scope that the seed gives to the run.
+    /// Returns the deduplication scope of the run, which depends on the seed.
     pub fn dedup_scope(&self) -> DedupScope {
         match mix(self.scenario.seed ^ 0x5c0e) % 3 {
             0 => DedupScope::Fleet,
@@ -160,13 +160,13 @@
         }
     }
 
-    /// How deduplicated requests may be repeated in this run.
+    /// Returns the idempotency of deduplicated requests in this run.
     pub fn deduplicated_idempotency(&self) -> Idempotency {
         let is_fleet_wide = self.dedup_scope() == DedupScope::Fleet;
         Idempotency::Deduplicated { window: DEDUP_WINDOW, is_fleet_wide }
     }
 
-    /// The part of the fleet that an endpoint drops repeats with.
+    /// Returns the number of the deduplication group that an endpoint belongs to.
     pub fn dedup_group_of(&self, server: usize) -> u32 {
         let state = self.state();
         match self.dedup_scope() {
@@ -176,7 +176,7 @@
         }
     }
 
-    /// The balancers that clients choose from.
+    /// Returns the balancers that clients choose from.
     pub fn balancers_in_rotation(&self) -> Vec<RotationEntry> {
         let state = self.state();
         let in_rotation = state.balancers.iter().enumerate().filter(|(_, balancer)| balancer.in_rotation);
@@ -188,19 +188,19 @@
             .collect()
     }
 
-    /// The last process of a balancer.
+    /// Returns the most recent process of a balancer.
     pub fn current_process(&self, balancer: usize) -> BalancerProcess {
         BalancerProcess { balancer, start: self.state().balancers[balancer].start_count }
     }
 
-    /// Whether a balancer's process still runs.
+    /// Returns whether a balancer's process is still running.
     pub fn is_alive(&self, process: BalancerProcess) -> bool {
         let state = self.state();
         let balancer = &state.balancers[process.balancer];
         balancer.runtime.is_some() && balancer.start_count == process.start
     }
 
-    /// Whether another balancer than this was killed a moment ago.
+    /// Returns whether another balancer than this one was killed recently.
     pub fn was_another_killed_recently(&self, balancer: usize) -> bool {
         let now = self.simulation.now();
         let state = self.state();
@@ -208,18 +208,19 @@
         others.flat_map(|(_, other)| &other.killed_at).any(|at| now - at < RECENT_KILL)
     }
 
-    /// Whether discovery has a fault of this kind.
+    /// Returns whether discovery has an active fault of a kind.
     pub fn has_discovery_fault(&self, kind: FaultKind) -> bool {
         self.state().discovery_faults.get(&kind).is_some_and(|count| *count > 0)
     }
 
-    /// Whether an endpoint has a fault of this kind.
+    /// Returns whether an endpoint has an active fault of a kind.
     pub fn has_server_fault(&self, server: usize, kind: FaultKind) -> bool {
         self.state().servers[server].active_faults.get(&kind).is_some_and(|count| *count > 0)
     }
 
-    /// Another endpoint than the one at this address, with the deduplication group that is wanted (its own, then that of
-    /// the one at the address); the same address where there is none.
+    /// Returns the address of another endpoint than the one at an address, or the same address if no other is
+    /// wanted. `is_wanted` takes the deduplication groups of the other endpoint and of the one at the
+    /// address.
     pub fn find_other_server(&self, address: SocketAddr, is_wanted: impl Fn(u32, u32) -> bool) -> SocketAddr {
         let group = self.server_at_address(address).map_or(0, |server| self.dedup_group_of(server));
         let count = self.state().servers.len();
@@ -229,13 +230,14 @@
         other.map_or(address, |other| self.server_address(other))
     }
 
-    /// An endpoint that drains, and since when.
+    /// Returns the address of a draining endpoint and the time at which it started to drain.
     pub fn draining_server(&self) -> Option<(SocketAddr, Micros)> {
         let state = self.state();
         state.servers.iter().find_map(|server| Some((server.address, server.draining_since?)))
     }
 
-    /// An endpoint that started between one second ago and the end of its slow start.
+    /// Returns the address of a running endpoint that started at least one second ago and is still warming
+    /// up.
     pub fn warming_server(&self) -> Option<SocketAddr> {
         let now = self.simulation.now();
         let state = self.state();
@@ -246,7 +248,8 @@
         state.servers.iter().find(is_warming).map(|server| server.address)
     }
 
-    /// An event happened at an endpoint: faults that waited for it begin, at the same time but in a task of their own.
+    /// Handles an event at an endpoint: injects the faults that it triggers, at the same virtual time but
+    /// each in a separate task.
     pub fn on_trigger_event(&self, event: TriggerEvent, server: usize) {
         for mut fault in self.take_triggered_faults(event) {
             if fault.target == TRIGGERING_SERVER {
--- a/crates/simulation/src/nodes.rs
+++ b/crates/simulation/src/nodes.rs
@@ -15,13 +15,13 @@
 use crate::scenario::{Fault, FaultKind};
 use crate::time::{MS, Micros, START_UNIX_MS};
 
-/// An endpoint and the machine that it runs on.
+/// An endpoint and the host that it runs on.
 pub struct UpstreamServer {
     /// Its name in the endpoint list.
     pub name: String,
-    /// Its machine.
+    /// Its host.
     pub host: HostId,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: u32,
@@ -29,62 +29,62 @@
     pub kind: u32,
     /// Its cell.
     pub cell: u32,
-    /// Requests that run at once.
+    /// The number of requests that it executes concurrently.
     pub cores: usize,
-    /// How fast a core is; 1 is usual.
+    /// The speed of a core relative to a standard core.
     pub speed_factor: f64,
-    /// How much longer faults make it work; 1 without any.
+    /// The factor by which faults lengthen its work, which is 1 without faults.
     pub slowdown_factor: f64,
-    /// How many faults of each kind change its behaviour.
+    /// The number of active faults of each kind.
     pub active_faults: BTreeMap<FaultKind, u32>,
-    /// Since when it drains.
+    /// The time at which it started to drain.
     pub draining_since: Option<Micros>,
-    /// None while no process runs.
+    /// The running process, if any.
     pub runtime: Option<SimulatedRuntime>,
-    /// None for a process that started long before the run.
+    /// The start time of the process, or `None` if it started long before the run.
     pub started_at: Option<Micros>,
-    /// How many faults keep it from running.
+    /// The number of faults that keep it from running.
     pub down_count: u32,
-    /// How often it came back under another name.
+    /// The number of restarts under a new name.
     pub rename_count: u32,
 }
 
-/// One process of a balancer.
+/// Identifies a process of a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BalancerProcess {
-    /// Index of the balancer.
+    /// The index of the balancer.
     pub balancer: usize,
-    /// Which start of it, from 1 on.
+    /// The number of the balancer's start, counted from 1.
     pub start: u32,
 }
 
-/// A balancer, or the sidecar in its place, and the machine that it runs on.
+/// A balancer, or the sidecar in its place, and the host that it runs on.
 pub struct BalancerNode {
-    /// Its machine.
+    /// Its host.
     pub host: HostId,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: u32,
-    /// None while no process runs.
+    /// The running process, if any.
     pub runtime: Option<SimulatedRuntime>,
-    /// Its decisions; None for a sidecar.
+    /// The dispatcher of the running process, or `None` for a sidecar.
     pub dispatcher: Option<Dispatcher>,
-    /// Asks the process to end.
+    /// The notification that asks the process to shut down.
     pub shutdown_requested: Arc<Notify>,
-    /// Tells the process where discovery is.
+    /// The sender of the address of discovery to the process.
     pub discovery_source: Option<watch::Sender<SocketAddr>>,
-    /// Clients choose it.
+    /// True while clients choose it.
     pub in_rotation: bool,
-    /// Its manual ejections, which outlive its processes.
+    /// The store of its manual ejections, which outlives its processes.
     pub override_store: Arc<MemoryOverrideStore>,
-    /// How often it started.
+    /// The number of starts.
     pub start_count: u32,
-    /// When its process was killed.
+    /// The times at which its process was killed.
     pub killed_at: Vec<Micros>,
-    /// How many faults keep it from running.
+    /// The number of faults that keep it from running.
     pub down_count: u32,
-    /// Its process was asked to end.
+    /// True once its process was asked to shut down.
     pub is_shutting_down: bool,
 }
 
@@ -107,16 +107,16 @@
 /// The state of an endpoint in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// The endpoint accepts requests.
     Active,
-    /// It drains.
+    /// The endpoint is draining.
     Leaving,
-    /// It is removed.
+    /// The endpoint is removed.
     Left,
 }
 
 impl EndpointState {
-    /// The word that discovery uses.
+    /// Returns the name of the state in responses of discovery.
     pub fn name(self) -> &'static str {
         match self {
             EndpointState::Active => "active",
@@ -131,7 +131,7 @@
 pub struct EndpointEntry {
     /// Its name.
     pub name: String,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: u32,
@@ -141,14 +141,14 @@
     pub cell: u32,
     /// Its state.
     pub state: EndpointState,
-    /// None for one that started long before the run.
+    /// The start time of the endpoint, or `None` if it started long before the run.
     pub started_at: Option<Micros>,
-    /// The version of the list that brought the entry.
+    /// The version of the list in which the entry last changed.
     pub changed_in_version: u64,
 }
 
 impl EndpointEntry {
-    /// The entry as discovery and the configuration write it.
+    /// Returns the JSON of the entry in responses of discovery and in the configuration.
     pub fn to_json(&self) -> Value {
         json!({
             "id": self.name, "addr": self.address.to_string(), "zone": format!("z{}", self.zone),
@@ -158,9 +158,9 @@
     }
 }
 
-/// A fault that waits for an event.
+/// A fault that waits for a trigger event.
 pub struct PendingFault {
-    /// How often the event still has to happen.
+    /// The number of further events that trigger the fault.
     pub remaining: u32,
     /// The fault.
     pub fault: Fault,
@@ -171,13 +171,13 @@
 pub struct AppliedFault {
     /// Its kind.
     pub kind: FaultKind,
-    /// When it began.
+    /// The time at which it began.
     pub start: Micros,
-    /// When it ended or will end.
+    /// The time at which it ended or will end.
     pub end: Micros,
 }
 
-/// All that changes in a cluster.
+/// The mutable state of a cluster.
 pub struct ClusterState {
     /// The endpoints, by index.
     pub servers: Vec<UpstreamServer>,
@@ -185,22 +185,22 @@
     pub balancers: Vec<BalancerNode>,
     /// The endpoint list, by name.
     pub endpoints: BTreeMap<String, EndpointEntry>,
-    /// Its version.
+    /// The version of the endpoint list.
     pub version: u64,
-    /// The oldest version from which discovery can tell what changed.
+    /// The oldest version for which discovery can compute the changes since.
     pub oldest_version: u64,
-    /// How much later discovery answers.
+    /// The delay that faults add to responses of discovery.
     pub discovery_delay: Micros,
-    /// How many faults of each kind discovery has.
+    /// The number of active faults of discovery, by kind.
     pub discovery_faults: BTreeMap<FaultKind, u32>,
-    /// Where discovery is, as balancers are told when they start.
+    /// The address of discovery that balancers are started with.
     pub discovery_address: SocketAddr,
-    /// None while discovery is down.
+    /// The process of discovery, or `None` while it is down.
     pub discovery_runtime: Option<SimulatedRuntime>,
-    /// Faults that wait for an event.
+    /// The faults that wait for a trigger event.
     pub pending_faults: Vec<PendingFault>,
-    /// Faults that were injected, in their order.
+    /// The faults that were injected, in the order of their beginnings.
     pub applied_faults: Vec<AppliedFault>,
-    /// Storms so far.
+    /// The number of storms so far.
     pub storm_count: u64,
 }
