--- a/crates/process-tests/src/bin/planted.rs
+++ b/crates/process-tests/src/bin/mutant.rs
@@ -25,39 +25,39 @@
 use serde_json::Value;
 use tokio::sync::watch;
 
-macro_rules! plants {
+macro_rules! mutants {
     ($($name:ident $text:literal,)*) => {
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-        enum Plant { $($name),* }
+        enum Mutant { $($name),* }
 
-        impl Plant {
-            fn of(text: &str) -> Option<Plant> {
-                match text { $($text => Some(Plant::$name),)* _ => None }
+        impl Mutant {
+            fn parse(text: &str) -> Option<Mutant> {
+                match text { $($text => Some(Mutant::$name),)* _ => None }
             }
         }
     };
 }
 
-plants! {
+mutants! {
     None "none",
-    Twice "twice",
-    TokenLate "token-late",
-    AfterAnswer "after-answer",
-    TooMany "too-many",
-    Altered "altered",
-    NoAnswer "no-answer",
-    SecondAnswer "second-answer",
-    OtherAnswer "other-answer",
-    NackAfterRun "nack-after-run",
-    Turned "turned-away",
-    AfterDrain "after-drain",
-    AfterBan "after-ban",
-    ColdFlood "cold-flood",
-    ListLoop "list-loop",
+    DuplicateNonIdempotent "twice",
+    RetryAfterDedupWindow "token-late",
+    SendAfterResponse "after-answer",
+    ExceedAttemptLimit "too-many",
+    AlterBody "altered",
+    OmitResponse "no-answer",
+    DuplicateResponse "second-answer",
+    ReturnPreviousResponse "other-answer",
+    RejectAfterRun "nack-after-run",
+    ChangeStatusToConflict "turned-away",
+    SendToDraining "after-drain",
+    SendToManuallyEjected "after-ban",
+    FloodWarmingUp "cold-flood",
+    PollTooOften "list-loop",
     Crash "crash",
-    Stays "stays",
-    Stuck "stuck",
-    Deaf "deaf",
+    IgnoreTermination "stays",
+    RejectAll "stuck",
+    IgnoreEndpointList "deaf",
 }
 
 /// A balancer that is wrong in one way.
@@ -65,13 +65,13 @@
 struct Arguments {
     /// in which way
     #[argh(option)]
-    plant: String,
+    mutant: String,
     /// what the program would be called with
     #[argh(positional, greedy)]
     rest: Vec<String>,
 }
 
-/// What the plant knows of the endpoints, from a list of its own.
+/// What the mutant knows of the endpoints, from a list of its own.
 #[derive(Clone, Default)]
 struct ObservedEndpoints {
     addresses: BTreeMap<String, SocketAddr>,
@@ -82,7 +82,7 @@
 }
 
 struct MutantState {
-    mutant: Plant,
+    mutant: Mutant,
     endpoints: Mutex<ObservedEndpoints>,
     attempt_count: AtomicU64,
     response_count: AtomicU64,
@@ -126,21 +126,23 @@
         let send =
             |after: u64, to: SocketAddr| send_copy_later(Duration::from_millis(after), to, bytes.to_vec());
         match self.mutant {
-            Plant::Twice if is("buy") && count.is_multiple_of(3) => send(30, other()),
-            Plant::TokenLate if is("top") && count.is_multiple_of(5) => send(5500, to),
-            Plant::AfterAnswer if is("look") && count.is_multiple_of(9) => send(4500, to),
-            Plant::TooMany if is("look") && count.is_multiple_of(9) => (0..5).for_each(|n| send(n, other())),
-            Plant::AfterDrain if is("look") => {
+            Mutant::DuplicateNonIdempotent if is("buy") && count.is_multiple_of(3) => send(30, other()),
+            Mutant::RetryAfterDedupWindow if is("top") && count.is_multiple_of(5) => send(5500, to),
+            Mutant::SendAfterResponse if is("look") && count.is_multiple_of(9) => send(4500, to),
+            Mutant::ExceedAttemptLimit if is("look") && count.is_multiple_of(9) => {
+                (0..5).for_each(|n| send(n, other()))
+            }
+            Mutant::SendToDraining if is("look") => {
                 if let Some(to) = named(&listed.draining) {
                     send(3000, to);
                 }
             }
-            Plant::AfterBan if is("look") => {
+            Mutant::SendToManuallyEjected if is("look") => {
                 if let Some(to) = named(&listed.manually_ejected) {
                     send(3000, to);
                 }
             }
-            Plant::ColdFlood if is("look") => {
+            Mutant::FloodWarmingUp if is("look") => {
                 if let Some(to) = named(&listed.warming) {
                     (0..8).for_each(|_| send(0, to));
                 }
@@ -153,7 +155,7 @@
     fn replacement_for(&self, to_client: bool, bytes: &[u8]) -> Option<Vec<u8>> {
         if !to_client {
             let text = String::from_utf8_lossy(bytes);
-            let is_altered = self.mutant == Plant::Altered && text.contains("/api/top?");
+            let is_altered = self.mutant == Mutant::AlterBody && text.contains("/api/top?");
             return is_altered.then(|| text.replacen("the body", "The body", 1).into_bytes());
         }
         if !bytes.starts_with(b"HTTP/1.1 ") || bytes.windows(6).any(|of| of == b"ready\n") {
@@ -162,19 +164,19 @@
         let is_served = bytes.starts_with(b"HTTP/1.1 200") && bytes.len() > 60;
         let count = self.response_count.fetch_add(1, Ordering::Relaxed);
         match self.mutant {
-            Plant::NoAnswer if is_served && count.is_multiple_of(19) => Some(Vec::new()),
-            Plant::SecondAnswer if is_served && count.is_multiple_of(9) => Some(bytes.repeat(2)),
-            Plant::OtherAnswer if is_served => {
+            Mutant::OmitResponse if is_served && count.is_multiple_of(19) => Some(Vec::new()),
+            Mutant::DuplicateResponse if is_served && count.is_multiple_of(9) => Some(bytes.repeat(2)),
+            Mutant::ReturnPreviousResponse if is_served => {
                 let last = std::mem::replace(&mut *lock(&self.last_response), bytes.to_vec());
                 (last.len() == bytes.len() && count.is_multiple_of(7)).then_some(last)
             }
-            Plant::Turned if is_served && count.is_multiple_of(9) => {
+            Mutant::ChangeStatusToConflict if is_served && count.is_multiple_of(9) => {
                 Some(String::from_utf8_lossy(bytes).replacen("200 OK", "409 Conflict", 1).into_bytes())
             }
-            Plant::NackAfterRun if bytes.starts_with(b"HTTP/1.1 502") => {
+            Mutant::RejectAfterRun if bytes.starts_with(b"HTTP/1.1 502") => {
                 Some(String::from_utf8_lossy(bytes).replacen("502", "503", 1).into_bytes())
             }
-            Plant::Stuck if is_served && count > 100 => {
+            Mutant::RejectAll if is_served && count > 100 => {
                 Some(String::from_utf8_lossy(bytes).replacen("200 OK", "503 Not", 1).into_bytes())
             }
             _ => None,
@@ -182,10 +184,10 @@
     }
 }
 
-/// Asks the list four times a second: the plant's own knowledge.
+/// Asks the list four times a second: the mutant's own knowledge.
 fn poll_endpoints(inner: Arc<MutantState>, list: SocketAddr, folder: PathBuf, warm: Duration) {
     let mut pause = Duration::from_millis(250);
-    if inner.mutant == Plant::ListLoop {
+    if inner.mutant == Mutant::PollTooOften {
         pause = Duration::from_millis(10);
     }
     loop {
@@ -270,7 +272,7 @@
 }
 
 impl MutantStream {
-    /// Whether the plant has written something else in place of this.
+    /// Whether the mutant has written something else in place of this.
     fn send_replacement(&self, bytes: &[u8]) -> bool {
         let Some(other) = self.mutant.replacement_for(self.upstream_address.is_none(), bytes) else {
             return false;
@@ -396,24 +398,25 @@
 }
 
 fn serve(call: &Arguments) -> Result<(), String> {
-    let plant = Plant::of(&call.plant).ok_or_else(|| format!("no plant is called {:?}", call.plant))?;
+    let mutant =
+        Mutant::parse(&call.mutant).ok_or_else(|| format!("no mutant is called {:?}", call.mutant))?;
     let config = call.rest.last().map(PathBuf::from);
     let path = config::resolve_path(config).map_err(|error| error.to_string())?;
     let given = config::load(&path).map_err(|error| error.to_string())?;
     let inner = MutantState {
-        mutant: plant,
+        mutant,
         endpoints: Mutex::default(),
         attempt_count: AtomicU64::new(0),
         response_count: AtomicU64::new(0),
         last_response: Mutex::default(),
     };
     let inner = Arc::new(inner);
-    if plant != Plant::None {
+    if mutant != Mutant::None {
         let (inner, list, folder) = (inner.clone(), given.discovery_address, std::env::temp_dir());
         let warm = Duration::from_secs_f64(given.settings.slow_start.warm_up_time.as_secs_f64());
         thread::spawn(move || poll_endpoints(inner, list, folder, warm));
     }
-    if plant == Plant::Crash {
+    if mutant == Mutant::Crash {
         thread::spawn(|| {
             thread::sleep(Duration::from_secs(2));
             std::process::exit(101);
@@ -427,8 +430,11 @@
         let world = MutantRuntime { sockets, mutant: inner };
         // A port on which nobody listens: it never hears of a list but that which it was given.
         let nobody = SocketAddr::from(([127, 0, 0, 1], 1));
-        let (_source, of_list) =
-            watch::channel(if plant == Plant::Deaf { nobody } else { given.discovery_address });
+        let (_source, of_list) = watch::channel(if mutant == Mutant::IgnoreEndpointList {
+            nobody
+        } else {
+            given.discovery_address
+        });
         let parts = assembly::assemble(&world, &given);
         if let Some(at) = given.admin_address {
             let operators = parts
@@ -439,7 +445,7 @@
         }
         let ask = async move {
             asked.recv().await;
-            if plant == Plant::Stays {
+            if mutant == Mutant::IgnoreTermination {
                 std::future::pending().await
             }
         };
@@ -453,7 +459,7 @@
     match serve(&call) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("doorproxy-planted: {fault}");
+            eprintln!("doorproxy-mutant: {fault}");
             ExitCode::FAILURE
         }
     }
--- a/crates/process-tests/src/cluster.rs
+++ b/crates/process-tests/src/cluster.rs
@@ -89,7 +89,7 @@
     /// What happened.
     pub history: History,
     /// The rules that broke, and how.
-    pub findings: Vec<Violation>,
+    pub violations: Vec<Violation>,
     /// How late the harness ran at the worst; a measurement with more than [`MAX_LATENESS`] is void.
     pub max_lateness: Micros,
     /// When the load began and ended.
@@ -98,8 +98,8 @@
 
 impl RunReport {
     /// The rules that broke, each once.
-    pub fn broken_rules(&self) -> BTreeSet<&'static str> {
-        self.findings.iter().map(|violation| violation.rule).collect()
+    pub fn violated_rules(&self) -> BTreeSet<&'static str> {
+        self.violations.iter().map(|violation| violation.rule).collect()
     }
 }
 
@@ -107,7 +107,7 @@
 ///
 /// # Errors
 ///
-/// Fails where the harness could not be set up or kept up; what the balancers did wrong is in the findings.
+/// Fails where the harness could not be set up or kept up; what the balancers did wrong is in the violations.
 pub fn run_scenario(scenario: &Scenario, options: &RunOptions) -> Result<RunReport, String> {
     std::fs::create_dir_all(&options.directory)
         .map_err(|error| format!("{}: {error}", options.directory.display()))?;
@@ -128,8 +128,8 @@
     writer.finish().map_err(|error| format!("{}: {error}", options.history_path().display()))?;
     let load_period = load_period?;
     let history = history::read_history(&options.history_path())?;
-    let findings = checkers::check_history(scenario, &history);
-    Ok(RunReport { history, findings, max_lateness, load_period })
+    let violations = checkers::check_history(scenario, &history);
+    Ok(RunReport { history, violations, max_lateness, load_period })
 }
 
 struct Cluster {
--- a/crates/process-tests/src/fault_report_measurement.rs
+++ b/crates/process-tests/src/fault_report_measurement.rs
@@ -132,7 +132,7 @@
         served: 0.0,
         refused: 0,
         failed: 0,
-        violations: played.findings.len(),
+        violations: played.violations.len(),
     };
     let mut served = 0;
     for line in played.history.lines.iter().filter(|line| line.at >= fault && line.at < played.load_period.1)
@@ -168,13 +168,13 @@
 pub fn measure_cases(
     seeds: std::ops::Range<u64>,
     jobs: usize,
-    staging: impl Fn(&std::path::Path) -> RunOptions + Sync,
+    options: impl Fn(&std::path::Path) -> RunOptions + Sync,
 ) -> Result<Vec<CaseResult>, String> {
     let played = run_cases(
         CASES.len(),
         seeds,
         jobs,
-        staging,
+        options,
         |case, seed| CASES[case].scenario(seed),
         |_, seed, played| measure_run(seed, played),
     )?;
--- a/crates/process-tests/src/main.rs
+++ b/crates/process-tests/src/main.rs
@@ -33,13 +33,13 @@
     Measure(Measure),
 }
 
-/// Play one script, or the one of a seed, and check its history.
+/// Play one scenario, or the one of a seed, and check its history.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "play")]
 struct Play {
-    /// the script, a TOML file
-    #[argh(option)]
-    script: Option<PathBuf>,
+    /// the scenario, a TOML file
+    #[argh(option, long = "script")]
+    scenario: Option<PathBuf>,
     /// in place of a script: the seed that it is drawn from
     #[argh(option)]
     seed: Option<u64>,
@@ -51,7 +51,7 @@
     program: Option<PathBuf>,
     /// play the faulty balancer of this name
     #[argh(option)]
-    plant: Option<String>,
+    mutant: Option<String>,
     /// where a rule breaks, make the script smaller and print it
     #[argh(switch)]
     shrink: bool,
@@ -77,8 +77,8 @@
 #[argh(subcommand, name = "check")]
 struct Check {
     /// the script of which it is
-    #[argh(option)]
-    script: PathBuf,
+    #[argh(option, long = "script")]
+    scenario: PathBuf,
     /// the history
     #[argh(positional)]
     history: PathBuf,
@@ -127,19 +127,19 @@
 fn run_options(
     folder: &Path,
     program: Option<&PathBuf>,
-    plant: Option<&String>,
+    mutant: Option<&String>,
 ) -> Result<RunOptions, String> {
     // Processes are given folders by whole paths.
     let folder = std::path::absolute(folder).map_err(|error| format!("{}: {error}", folder.display()))?;
-    let mut staging = RunOptions::with_built_program(&folder)?;
+    let mut options = RunOptions::with_built_program(&folder)?;
     if let Some(program) = program {
-        staging.program = program.clone();
+        options.program = program.clone();
     }
-    if let Some(plant) = plant {
-        staging.program = staging.program.with_file_name("doorproxy-planted");
-        staging.arguments = vec!["--plant".to_string(), plant.clone()];
+    if let Some(mutant) = mutant {
+        options.program = options.program.with_file_name("doorproxy-mutant");
+        options.arguments = vec!["--mutant".to_string(), mutant.clone()];
     }
-    Ok(staging)
+    Ok(options)
 }
 
 fn load_scenario(path: &Path) -> Result<Scenario, String> {
@@ -148,35 +148,35 @@
 }
 
 fn print_report(played: &RunReport) {
-    for finding in &played.findings {
-        println!("{:>9.3} s {}: {}", finding.at as f64 / 1e6, finding.rule, finding.text);
+    for violation in &played.violations {
+        println!("{:>9.3} s {}: {}", violation.at as f64 / 1e6, violation.rule, violation.text);
     }
     let (lines, late) = (played.history.lines.len(), played.max_lateness / MS);
     println!(
         "{} violations in {lines} lines of history; the stage was {late} ms late at the worst",
-        played.findings.len()
+        played.violations.len()
     );
 }
 
 fn run_play(call: &Play) -> Result<bool, String> {
-    let script = match (&call.script, call.seed) {
+    let scenario = match (&call.scenario, call.seed) {
         (Some(path), None) => load_scenario(path)?,
         (None, Some(seed)) => generate(seed),
         _ => return Err("either --script or --seed expected".to_string()),
     };
     let scratch = tempfile::tempdir().map_err(|error| error.to_string())?;
     let folder = call.out.clone().unwrap_or_else(|| scratch.path().to_path_buf());
-    let staging = run_options(&folder, call.program.as_ref(), call.plant.as_ref())?;
-    let played = run_scenario(&script, &staging)?;
+    let options = run_options(&folder, call.program.as_ref(), call.mutant.as_ref())?;
+    let played = run_scenario(&scenario, &options)?;
     print_report(&played);
-    if let Some(first) = played.findings.first().filter(|_| call.shrink) {
-        let mut shrinker = Shrinker::new(&script, |script| {
-            run_scenario(script, &staging).is_ok_and(|played| played.broken_rules().contains(first.rule))
+    if let Some(first) = played.violations.first().filter(|_| call.shrink) {
+        let mut shrinker = Shrinker::new(&scenario, |scenario| {
+            run_scenario(scenario, &options).is_ok_and(|played| played.violated_rules().contains(first.rule))
         });
         let small = shrinker.shrink();
         println!("# {} after {} plays\n{}", first.rule, shrinker.run_count, small.to_toml());
     }
-    Ok(played.findings.is_empty())
+    Ok(played.violations.is_empty())
 }
 
 fn parse_seed_range(text: &str) -> Result<std::ops::Range<u64>, String> {
@@ -223,8 +223,8 @@
 
 fn measure_quotas(call: &Measure) -> Result<bool, String> {
     let usual = run_options(Path::new("."), call.program.as_ref(), None)?;
-    let staging = |folder: &Path| RunOptions { directory: folder.to_path_buf(), ..usual.clone() };
-    let rows = quota_measurement::measure_cases(parse_seed_range(&call.seeds)?, call.jobs, staging)?;
+    let options = |folder: &Path| RunOptions { directory: folder.to_path_buf(), ..usual.clone() };
+    let rows = quota_measurement::measure_cases(parse_seed_range(&call.seeds)?, call.jobs, options)?;
     if call.json {
         println!("{}", serde_json::to_string(&rows).map_err(|error| error.to_string())?);
     } else {
@@ -235,8 +235,8 @@
 
 fn measure_fault_reports(call: &Measure) -> Result<bool, String> {
     let usual = run_options(Path::new("."), call.program.as_ref(), None)?;
-    let staging = |folder: &Path| RunOptions { directory: folder.to_path_buf(), ..usual.clone() };
-    let rows = fault_report_measurement::measure_cases(parse_seed_range(&call.seeds)?, call.jobs, staging)?;
+    let options = |folder: &Path| RunOptions { directory: folder.to_path_buf(), ..usual.clone() };
+    let rows = fault_report_measurement::measure_cases(parse_seed_range(&call.seeds)?, call.jobs, options)?;
     if call.json {
         println!("{}", serde_json::to_string(&rows).map_err(|error| error.to_string())?);
     } else {
@@ -259,12 +259,12 @@
                         return;
                     }
                     let played = tempfile::tempdir().map_err(|error| error.to_string()).and_then(|folder| {
-                        let staging = run_options(folder.path(), call.program.as_ref(), None)?;
-                        run_scenario(&generate(seed), &staging)
+                        let options = run_options(folder.path(), call.program.as_ref(), None)?;
+                        run_scenario(&generate(seed), &options)
                     });
                     let told = match &played {
-                        Ok(played) if played.findings.is_empty() => None,
-                        Ok(played) => Some(format!("seed {seed}: {:?}", played.findings[0])),
+                        Ok(played) if played.violations.is_empty() => None,
+                        Ok(played) => Some(format!("seed {seed}: {:?}", played.violations[0])),
                         Err(error) => Some(format!("seed {seed} was not played: {error}")),
                     };
                     if let Some(told) = &told {
@@ -290,10 +290,10 @@
     if history.is_truncated {
         println!("the history was cut off: what its end would show is not checked");
     }
-    let findings = checkers::check_history(&load_scenario(&call.script)?, &history);
-    let played = RunReport { history, findings, max_lateness: 0, load_period: (0, 0) };
+    let violations = checkers::check_history(&load_scenario(&call.scenario)?, &history);
+    let played = RunReport { history, violations, max_lateness: 0, load_period: (0, 0) };
     print_report(&played);
-    Ok(played.findings.is_empty())
+    Ok(played.violations.is_empty())
 }
 
 /// Thousands of requests that wait at once hold six descriptors each, and several plays go on side by side.
--- a/crates/process-tests/src/quota_measurement.rs
+++ b/crates/process-tests/src/quota_measurement.rs
@@ -138,9 +138,9 @@
     firsts.collect()
 }
 
-fn measure_run(case: &Case, script: &Scenario, seed: u64, played: &RunReport) -> RunMeasurement {
+fn measure_run(case: &Case, scenario: &Scenario, seed: u64, played: &RunReport) -> RunMeasurement {
     let (begin, end) = played.load_period;
-    let (nearest, used) = checkers::limit_usage(script, &played.history, end - USAGE_WINDOW, end);
+    let (nearest, used) = checkers::limit_usage(scenario, &played.history, end - USAGE_WINDOW, end);
     let through = admission_times(played);
     let fault = (FAULT_AT_S * SECOND as f64) as Micros;
     let wanted = RECOVERED_USAGE_RATIO * LIMIT_PER_SECOND * SLICE as f64 / SECOND as f64;
@@ -152,7 +152,7 @@
         (0..).map(|n| fault + n * SCAN_STEP).take_while(|at| at + SLICE_COUNT * SLICE <= end - begin);
     let again = instants.find(|at| (0..SLICE_COUNT).all(|n| is_full(at + n * SLICE)));
     let again_s = again.map(|at| (at - fault) as f64 / SECOND as f64).filter(|_| case.fault.is_some());
-    RunMeasurement { seed, used, nearest, again_s, violations: played.findings.len() }
+    RunMeasurement { seed, used, nearest, again_s, violations: played.violations.len() }
 }
 
 #[derive(Debug, Serialize)]
@@ -176,11 +176,11 @@
 pub fn measure_cases(
     seeds: std::ops::Range<u64>,
     jobs: usize,
-    staging: impl Fn(&std::path::Path) -> RunOptions + Sync,
+    options: impl Fn(&std::path::Path) -> RunOptions + Sync,
 ) -> Result<Vec<CaseResult>, String> {
-    let script = |case: usize, seed| CASES[case].scenario(seed);
-    let played = run_cases(CASES.len(), seeds, jobs, staging, script, |case, seed, played| {
-        measure_run(&CASES[case], &script(case, seed), seed, played)
+    let scenario = |case: usize, seed| CASES[case].scenario(seed);
+    let played = run_cases(CASES.len(), seeds, jobs, options, scenario, |case, seed, played| {
+        measure_run(&CASES[case], &scenario(case, seed), seed, played)
     })?;
     let row = |(case, (readings, void)): (&Case, (Vec<RunMeasurement>, usize))| CaseResult {
         case: case.name,
--- a/crates/process-tests/src/quota_measurement/tests.rs
+++ b/crates/process-tests/src/quota_measurement/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn each_case_is_a_valid_scenario() {
     for case in CASES {
-        let script = case.scenario(3);
-        assert_eq!(Scenario::parse(&script.to_toml()).as_ref(), Ok(&script), "{}", case.name);
+        let scenario = case.scenario(3);
+        assert_eq!(Scenario::parse(&scenario.to_toml()).as_ref(), Ok(&scenario), "{}", case.name);
     }
 }
--- a/crates/process-tests/src/recovery_measurement.rs
+++ b/crates/process-tests/src/recovery_measurement.rs
@@ -99,9 +99,9 @@
 }
 
 /// What one play shows beside the play of its load without the fault.
-pub fn measure_run(seed: u64, played: &RunReport, base: &RunReport, script: &Scenario) -> RunMeasurement {
+pub fn measure_run(seed: u64, played: &RunReport, base: &RunReport, scenario: &Scenario) -> RunMeasurement {
     let begin = played.load_period.0;
-    let first = script
+    let first = scenario
         .faults
         .iter()
         .filter(|fault| fault.kind != FaultKind::Partition)
@@ -168,10 +168,10 @@
                 Event::ConnectionLost { .. } | Event::ResponseMissing { .. } | Event::NotConnected { .. }
             )
         }),
-        cold_part: crate::checkers::peak_slow_start_ratio(script, &played.history),
+        cold_part: crate::checkers::peak_slow_start_ratio(scenario, &played.history),
         p50_ms: took.value_at_quantile(0.5) as f64 / 1e3,
         p99_ms: took.value_at_quantile(0.99) as f64 / 1e3,
-        violations: played.findings.len(),
+        violations: played.violations.len(),
         service,
         load,
     }
@@ -280,14 +280,14 @@
 }
 
 fn run_in_time(
-    script: &Scenario,
-    staging: &impl Fn(&std::path::Path) -> RunOptions,
+    scenario: &Scenario,
+    options: &impl Fn(&std::path::Path) -> RunOptions,
 ) -> Result<Option<RunReport>, String> {
     for _ in 0..MAX_TRIES {
         let folder = tempfile::tempdir().map_err(|error| error.to_string())?;
         // Whether they serve again in the end is what is measured.
-        let staging = RunOptions { hang_timeout: HANG_TIMEOUT, ..staging(folder.path()) };
-        let played = run_scenario(script, &staging)?;
+        let options = RunOptions { hang_timeout: HANG_TIMEOUT, ..options(folder.path()) };
+        let played = run_scenario(scenario, &options)?;
         if played.max_lateness <= MAX_LATENESS {
             return Ok(Some(played));
         }
@@ -306,8 +306,8 @@
     cases: usize,
     seeds: std::ops::Range<u64>,
     jobs: usize,
-    staging: impl Fn(&std::path::Path) -> RunOptions + Sync,
-    script: impl Fn(usize, u64) -> Scenario + Sync,
+    options: impl Fn(&std::path::Path) -> RunOptions + Sync,
+    scenario: impl Fn(usize, u64) -> Scenario + Sync,
     read: impl Fn(usize, u64, &RunReport) -> R + Sync,
 ) -> Result<Vec<CaseMeasurements<R>>, String> {
     let plays: Vec<(u64, usize)> = seeds.flat_map(|seed| (0..cases).map(move |case| (seed, case))).collect();
@@ -316,7 +316,7 @@
         for _ in 0..jobs.max(1) {
             scope.spawn(|| {
                 while let Some(&(seed, case)) = plays.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let played = run_in_time(&script(case, seed), &staging);
+                    let played = run_in_time(&scenario(case, seed), &options);
                     let reading = played.map(|played| played.map(|played| read(case, seed, &played)));
                     done.lock().expect("no panic while it is held").insert((seed, case), reading);
                 }
@@ -333,7 +333,7 @@
     Ok(all)
 }
 
-/// Plays these cases with each seed, so many side by side. `staging` says what is played in a folder.
+/// Plays these cases with each seed, so many side by side. `options` says what is played in a folder.
 ///
 /// # Errors
 /// The first play that could not be set up or kept up.
@@ -341,7 +341,7 @@
     cases: &[Case],
     seeds: std::ops::Range<u64>,
     jobs: usize,
-    staging: impl Fn(&std::path::Path) -> RunOptions + Sync,
+    options: impl Fn(&std::path::Path) -> RunOptions + Sync,
 ) -> Result<Vec<CaseResult>, String> {
     let longest =
         cases.iter().map(|case| case.fault_at_s + DOWNTIME_S + case.load_after_s).fold(0.0, f64::max);
@@ -356,7 +356,7 @@
         for _ in 0..jobs.max(1) {
             scope.spawn(|| {
                 while let Some(seed) = seeds.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let done = measure_seed(cases, *seed, longest, &staging);
+                    let done = measure_seed(cases, *seed, longest, &options);
                     let mut shared = shared.lock().expect("no panic while it is held");
                     match done {
                         Ok(readings) => {
@@ -385,7 +385,7 @@
     cases: &[Case],
     seed: u64,
     longest: f64,
-    staging: &impl Fn(&std::path::Path) -> RunOptions,
+    options: &impl Fn(&std::path::Path) -> RunOptions,
 ) -> Result<Vec<Option<RunMeasurement>>, String> {
     let mut bases: BTreeMap<bool, Option<RunReport>> = BTreeMap::new();
     let mut readings = Vec::new();
@@ -393,15 +393,15 @@
         let base = match bases.entry(case.heavy_requests) {
             Entry::Occupied(base) => base.into_mut(),
             Entry::Vacant(place) => place
-                .insert(run_in_time(&scenario_without_fault(seed, longest, case.heavy_requests), staging)?),
+                .insert(run_in_time(&scenario_without_fault(seed, longest, case.heavy_requests), options)?),
         };
         let Some(base) = base else {
             readings.push(None);
             continue;
         };
-        let script = case.scenario(seed);
-        let played = run_in_time(&script, staging)?;
-        readings.push(played.map(|played| measure_run(seed, &played, base, &script)));
+        let scenario = case.scenario(seed);
+        let played = run_in_time(&scenario, options)?;
+        readings.push(played.map(|played| measure_run(seed, &played, base, &scenario)));
     }
     Ok(readings)
 }
--- a/crates/process-tests/src/recovery_measurement/cases.rs
+++ b/crates/process-tests/src/recovery_measurement/cases.rs
@@ -163,15 +163,15 @@
 
 impl Case {
     pub fn scenario(&self, seed: u64) -> Scenario {
-        let mut script = scenario_without_fault(
+        let mut scenario = scenario_without_fault(
             seed,
             self.fault_at_s + DOWNTIME_S + self.load_after_s,
             self.heavy_requests,
         );
-        script.fleet.keeps_state = self.keeps_state;
-        (script.fleet.configured_balancers, script.fleet.registry_replicas) =
+        scenario.fleet.keeps_state = self.keeps_state;
+        (scenario.fleet.configured_balancers, scenario.fleet.registry_replicas) =
             (self.configured_balancers, self.registry_replicas);
-        script.fleet.reserve = self.reserve;
+        scenario.fleet.reserve = self.reserve;
         let usual = Fault {
             at: self.fault_at_s,
             kind: FaultKind::Kill,
@@ -185,7 +185,7 @@
         };
         let who = |who: &str| who.to_string();
         if !self.killed.is_empty() {
-            script.faults.push(Fault { targets: who(self.killed), ..usual.clone() });
+            scenario.faults.push(Fault { targets: who(self.killed), ..usual.clone() });
         }
         let others = Fault {
             configured_list: ConfiguredList::Last,
@@ -193,7 +193,7 @@
             ..usual
         };
         if self.restart_upstreams {
-            script.faults.push(Fault {
+            scenario.faults.push(Fault {
                 kind: FaultKind::Restart,
                 targets: who("u*"),
                 duration_s: 0.0,
@@ -208,15 +208,15 @@
                 duration_s: 0.0,
                 ..others.clone()
             };
-            script.faults.push(cut);
+            scenario.faults.push(cut);
         }
         if self.discovery_outage_s > 0.0 {
-            script.faults.push(Fault {
+            scenario.faults.push(Fault {
                 kind: FaultKind::DiscoveryOutage,
                 duration_s: self.discovery_outage_s,
                 ..others
             });
         }
-        script
+        scenario
     }
 }
--- a/crates/process-tests/src/recovery_measurement/tests.rs
+++ b/crates/process-tests/src/recovery_measurement/tests.rs
@@ -15,7 +15,7 @@
 #[test]
 fn each_case_is_a_valid_scenario() {
     for case in CASES {
-        let script = case.scenario(3);
-        assert_eq!(Scenario::parse(&script.to_toml()).as_ref(), Ok(&script), "{}", case.name);
+        let scenario = case.scenario(3);
+        assert_eq!(Scenario::parse(&scenario.to_toml()).as_ref(), Ok(&scenario), "{}", case.name);
     }
 }
--- a/crates/process-tests/tests/kept_scenarios.rs
+++ b/crates/process-tests/tests/kept_scenarios.rs
@@ -38,8 +38,8 @@
     let directory = tempfile::tempdir()?;
     let scenario = Scenario::parse(&std::fs::read_to_string(file)?)?;
     let report = run_scenario(&scenario, &RunOptions::with_built_program(directory.path())?)?;
-    if !report.findings.is_empty() {
-        return Err(format!("{:#?}", report.findings).into());
+    if !report.violations.is_empty() {
+        return Err(format!("{:#?}", report.violations).into());
     }
     if report.history.lines.is_empty() {
         return Err("the history is empty".into());
--- a/crates/process-tests/tests/members.rs
+++ b/crates/process-tests/tests/members.rs
@@ -18,7 +18,7 @@
                     let directory = tempfile::tempdir().unwrap();
                     run_scenario(&scenario, &RunOptions::with_built_program(directory.path()).unwrap())
                         .unwrap()
-                        .broken_rules()
+                        .violated_rules()
                 })
             })
             .collect();
--- a/crates/process-tests/tests/plants.rs
+++ b/crates/process-tests/tests/mutants.rs
@@ -50,11 +50,11 @@
     // Two mutants never end by themselves, so mutants get a short timeout. It could only cause a false
     // violation for a correct balancer, which gets the full one.
     let hang_timeout = if mutant == "none" { HANG_TIMEOUT } else { 8_000_000 };
-    let program = Path::new(env!("CARGO_BIN_EXE_doorproxy-planted")).to_path_buf();
-    let arguments = ["--plant", mutant].map(String::from).to_vec();
+    let program = Path::new(env!("CARGO_BIN_EXE_doorproxy-mutant")).to_path_buf();
+    let arguments = ["--mutant", mutant].map(String::from).to_vec();
     let options = RunOptions { program, arguments, directory: directory.path().to_path_buf(), hang_timeout };
     let report = run_scenario(&Scenario::parse(&text).unwrap(), &options).unwrap();
-    report.broken_rules().into_iter().collect()
+    report.violated_rules().into_iter().collect()
 }
 
 /// The number of concurrent runs. They wait more than they compute, but all at once would be starved on a
--- a/crates/process-tests/tests/recovery.rs
+++ b/crates/process-tests/tests/recovery.rs
@@ -62,7 +62,7 @@
     });
     for ((keeps_state, directory), report) in cases.into_iter().zip(reports) {
         let case = format!("state: {keeps_state}, directory: {directory}");
-        assert_eq!(report.findings, [], "{case}");
+        assert_eq!(report.violations, [], "{case}");
         let expected = keeps_state && directory == "kept";
         let served = served_before_discovery(&report);
         assert!(served.iter().all(|(_, has_served)| *has_served == expected), "{case}: {served:?}");
@@ -77,7 +77,7 @@
                 fleet = { balancers = 3, upstreams = 4, warm_s = 60.0 }\nload = { rate = 120.0 }\n\
                 [[fault]]\nat = 2.0\nwhat = \"restart\"\nwho = \"u*\"\n";
     let report = run_text(text);
-    assert_eq!(report.findings, []);
+    assert_eq!(report.violations, []);
     let lines = &report.history.lines;
     let restart = lines.iter().position(|line| matches!(&line.event, Event::Fault { .. })).unwrap();
     let statuses = lines[restart..].iter().filter_map(|line| match &line.event {
--- a/crates/process-tests/tests/verdicts.rs
+++ b/crates/process-tests/tests/verdicts.rs
@@ -27,7 +27,7 @@
     let directory = tempfile::tempdir().unwrap();
     let mut report =
         run_scenario(&scenario, &RunOptions::with_built_program(directory.path()).unwrap()).unwrap();
-    assert!(report.findings.is_empty(), "{:#?}", report.findings);
+    assert!(report.violations.is_empty(), "{:#?}", report.violations);
     report.history.lines.retain(|line| !matches!(line.event, Event::Fault { .. }));
     let violations = checkers::check_history(&scenario, &report.history);
     assert!(violations.iter().any(|violation| violation.rule == "fleet-ban"), "{violations:#?}");
