--- a/crates/process-tests/src/bin/mutant.rs
+++ b/crates/process-tests/src/bin/mutant.rs
@@ -1,5 +1,6 @@
-//! A balancer that is wrong in one way, so that a checker can be shown to find it: the balancer's own library in a world that
-//! sees its connections from outside. It is never part of the program, and nothing in the program knows of it.
+//! A balancer with one deliberate fault, which shows that a checker finds that fault. It runs the balancer's
+//! own library on a runtime that changes what passes its connections. It is a separate program: the balancer
+//! contains no code for it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Arguments as Line;
@@ -60,24 +61,24 @@
     IgnoreEndpointList "deaf",
 }
 
-/// A balancer that is wrong in one way.
+/// A balancer with one deliberate fault.
 #[derive(FromArgs)]
 struct Arguments {
-    /// in which way
+    /// the name of the fault; none for a correct balancer
     #[argh(option)]
     mutant: String,
-    /// what the program would be called with
+    /// the arguments that doorproxy would get
     #[argh(positional, greedy)]
     rest: Vec<String>,
 }
 
-/// What the mutant knows of the endpoints, from a list of its own.
+/// The endpoints as the mutant itself knows them, from its own calls of discovery.
 #[derive(Clone, Default)]
 struct ObservedEndpoints {
     addresses: BTreeMap<String, SocketAddr>,
     draining: BTreeSet<String>,
     warming: BTreeSet<String>,
-    /// What is out by hand, as the folder says.
+    /// The manually ejected endpoints, read from the files in the state directory.
     manually_ejected: BTreeSet<String>,
 }
 
@@ -95,23 +96,24 @@
     mutant: Arc<MutantState>,
 }
 
-fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    of.lock().expect("no panic while it is held")
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().expect("no panic while it is locked")
 }
 
+/// Sends a request from a connection of its own, which the balancer does not know of.
 fn send_copy_later(after: Duration, to: SocketAddr, bytes: Vec<u8>) {
     thread::spawn(move || {
         thread::sleep(after);
         if let Ok(mut stream) = TcpStream::connect(to) {
             let _ = stream.write_all(&bytes);
-            // The endpoint reads all of it before it sees the end.
+            // The endpoint gets the time to read the whole request before the connection is closed.
             thread::sleep(Duration::from_millis(500));
         }
     });
 }
 
 impl MutantState {
-    /// An attempt was written.
+    /// Handles an attempt that the balancer has written, and sends the additional attempts of the mutant.
     fn on_sent(&self, to: SocketAddr, bytes: &[u8]) {
         let text = String::from_utf8_lossy(bytes);
         let is = |kind: &str| text.contains(&format!("/api/{kind}?"));
@@ -151,14 +153,15 @@
         }
     }
 
-    /// What is to be written in place of these bytes.
+    /// Returns the bytes to write in place of these, if the mutant changes them; an empty replacement drops
+    /// them.
     fn replacement_for(&self, to_client: bool, bytes: &[u8]) -> Option<Vec<u8>> {
         if !to_client {
             let text = String::from_utf8_lossy(bytes);
             let is_altered = self.mutant == Mutant::AlterBody && text.contains("/api/top?");
             return is_altered.then(|| text.replacen("the body", "The body", 1).into_bytes());
         }
-        if !bytes.starts_with(b"HTTP/1.1 ") || bytes.windows(6).any(|of| of == b"ready\n") {
+        if !bytes.starts_with(b"HTTP/1.1 ") || bytes.windows(6).any(|window| window == b"ready\n") {
             return None;
         }
         let is_served = bytes.starts_with(b"HTTP/1.1 200") && bytes.len() > 60;
@@ -184,53 +187,59 @@
     }
 }
 
-/// Asks the list four times a second: the mutant's own knowledge.
-fn poll_endpoints(inner: Arc<MutantState>, list: SocketAddr, folder: PathBuf, warm: Duration) {
+/// Keeps the mutant's own view of the endpoints current: calls discovery four times a second, and the mutant
+/// that polls too often a hundred times.
+fn poll_endpoints(
+    state: Arc<MutantState>,
+    discovery: SocketAddr,
+    directory: PathBuf,
+    warm_up_time: Duration,
+) {
     let mut pause = Duration::from_millis(250);
-    if inner.mutant == Mutant::PollTooOften {
+    if state.mutant == Mutant::PollTooOften {
         pause = Duration::from_millis(10);
     }
     loop {
-        if let Some(told) = fetch_endpoints(list) {
+        if let Some(list) = fetch_endpoints(discovery) {
             let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
             let mut listed = ObservedEndpoints::default();
-            for line in told["servers"].as_array().into_iter().flatten() {
-                let name = line["id"].as_str().unwrap_or_default().to_string();
-                let Some(address) = line["addr"].as_str().and_then(|text| text.parse().ok()) else {
+            for entry in list["servers"].as_array().into_iter().flatten() {
+                let name = entry["id"].as_str().unwrap_or_default().to_string();
+                let Some(address) = entry["addr"].as_str().and_then(|text| text.parse().ok()) else {
                     continue;
                 };
-                if line["state"] != "active" {
+                if entry["state"] != "active" {
                     listed.draining.insert(name.clone());
                 }
-                let started = line["started_ms"].as_u64().unwrap_or(0);
-                if started > 0 && now < started + warm.as_millis() as u64 {
+                let started = entry["started_ms"].as_u64().unwrap_or(0);
+                if started > 0 && now < started + warm_up_time.as_millis() as u64 {
                     listed.warming.insert(name.clone());
                 }
                 listed.addresses.insert(name, address);
             }
-            for entry in std::fs::read_dir(&folder).into_iter().flatten().flatten() {
-                let text = std::fs::read_to_string(entry.path()).unwrap_or_default();
+            for file in std::fs::read_dir(&directory).into_iter().flatten().flatten() {
+                let text = std::fs::read_to_string(file.path()).unwrap_or_default();
                 let names = text.lines().filter_map(|line| line.strip_prefix("out ")?.split(' ').next());
                 listed.manually_ejected.extend(names.map(str::to_string));
             }
-            *lock(&inner.endpoints) = listed;
+            *lock(&state.endpoints) = listed;
         }
         thread::sleep(pause);
     }
 }
 
-fn fetch_endpoints(list: SocketAddr) -> Option<Value> {
+fn fetch_endpoints(discovery: SocketAddr) -> Option<Value> {
     use std::io::Read as _;
-    let mut stream = TcpStream::connect_timeout(&list, Duration::from_millis(500)).ok()?;
+    let mut stream = TcpStream::connect_timeout(&discovery, Duration::from_millis(500)).ok()?;
     stream.set_read_timeout(Some(Duration::from_millis(500))).ok()?;
     stream.write_all(b"GET /api/targets HTTP/1.1\r\nHost: l\r\n\r\n").ok()?;
     let (mut text, mut bytes) = (Vec::new(), [0; 4096]);
     loop {
         let read = stream.read(&mut bytes).ok()?;
         text.extend_from_slice(&bytes[..read]);
-        let head = text.windows(4).position(|of| of == b"\r\n\r\n");
-        if let Some(told) = head.and_then(|head| serde_json::from_slice(&text[head + 4..]).ok()) {
-            return Some(told);
+        let head = text.windows(4).position(|window| window == b"\r\n\r\n");
+        if let Some(list) = head.and_then(|head| serde_json::from_slice(&text[head + 4..]).ok()) {
+            return Some(list);
         }
         if read == 0 {
             return None;
@@ -266,19 +275,19 @@
 
 struct MutantStream {
     stream: <SystemRuntime as Runtime>::Stream,
-    /// None: a client's.
+    /// The endpoint that the stream is connected to; none for a client's connection.
     upstream_address: Option<SocketAddr>,
     mutant: Arc<MutantState>,
 }
 
 impl MutantStream {
-    /// Whether the mutant has written something else in place of this.
+    /// Writes the mutant's replacement of these bytes; returns false if there is none.
     fn send_replacement(&self, bytes: &[u8]) -> bool {
-        let Some(other) = self.mutant.replacement_for(self.upstream_address.is_none(), bytes) else {
+        let Some(replacement) = self.mutant.replacement_for(self.upstream_address.is_none(), bytes) else {
             return false;
         };
-        if !other.is_empty() {
-            let _ = self.stream.try_send(&other);
+        if !replacement.is_empty() {
+            let _ = self.stream.try_send(&replacement);
         }
         true
     }
@@ -286,13 +295,13 @@
     fn send_or_replace(
         &self,
         bytes: &[IoSlice],
-        put: impl FnOnce() -> Poll<io::Result<usize>>,
+        write: impl FnOnce() -> Poll<io::Result<usize>>,
     ) -> Poll<io::Result<usize>> {
         let whole: Vec<u8> = bytes.iter().flat_map(|piece| piece.iter().copied()).collect();
         if !whole.is_empty() && self.send_replacement(&whole) {
             return Poll::Ready(Ok(whole.len()));
         }
-        let written = put();
+        let written = write();
         if let (Poll::Ready(Ok(written)), Some(to)) = (&written, self.upstream_address) {
             self.mutant.on_sent(to, &whole[..*written]);
         }
@@ -388,8 +397,8 @@
     }
 
     fn listen(&self, at: SocketAddr, send_buffer: u32, backlog: u32) -> io::Result<MutantListener> {
-        let listening = self.sockets.listen(at, send_buffer, backlog)?;
-        Ok(MutantListener { listener: listening, mutant: self.mutant.clone() })
+        let listener = self.sockets.listen(at, send_buffer, backlog)?;
+        Ok(MutantListener { listener, mutant: self.mutant.clone() })
     }
 
     fn log(&self, line: Line) {
@@ -397,24 +406,24 @@
     }
 }
 
-fn serve(call: &Arguments) -> Result<(), String> {
-    let mutant =
-        Mutant::parse(&call.mutant).ok_or_else(|| format!("no mutant is called {:?}", call.mutant))?;
-    let config = call.rest.last().map(PathBuf::from);
+fn serve(arguments: &Arguments) -> Result<(), String> {
+    let mutant = Mutant::parse(&arguments.mutant)
+        .ok_or_else(|| format!("--mutant: {:?} is not the name of a mutant", arguments.mutant))?;
+    let config = arguments.rest.last().map(PathBuf::from);
     let path = config::resolve_path(config).map_err(|error| error.to_string())?;
-    let given = config::load(&path).map_err(|error| error.to_string())?;
-    let inner = MutantState {
+    let config = config::load(&path).map_err(|error| error.to_string())?;
+    let state = MutantState {
         mutant,
         endpoints: Mutex::default(),
         attempt_count: AtomicU64::new(0),
         response_count: AtomicU64::new(0),
         last_response: Mutex::default(),
     };
-    let inner = Arc::new(inner);
+    let state = Arc::new(state);
     if mutant != Mutant::None {
-        let (inner, list, folder) = (inner.clone(), given.discovery_address, std::env::temp_dir());
-        let warm = Duration::from_secs_f64(given.settings.slow_start.warm_up_time.as_secs_f64());
-        thread::spawn(move || poll_endpoints(inner, list, folder, warm));
+        let (state, discovery, directory) = (state.clone(), config.discovery_address, std::env::temp_dir());
+        let warm_up_time = Duration::from_secs_f64(config.settings.slow_start.warm_up_time.as_secs_f64());
+        thread::spawn(move || poll_endpoints(state, discovery, directory, warm_up_time));
     }
     if mutant == Mutant::Crash {
         thread::spawn(|| {
@@ -425,41 +434,43 @@
     let sockets = SystemRuntime::start();
     let runtime = sockets.tokio_runtime().map_err(|error| error.to_string())?;
     runtime.block_on(async move {
-        let mut asked = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
+        let mut terminate = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
             .map_err(|error| error.to_string())?;
-        let world = MutantRuntime { sockets, mutant: inner };
-        // A port on which nobody listens: it never hears of a list but that which it was given.
-        let nobody = SocketAddr::from(([127, 0, 0, 1], 1));
-        let (_source, of_list) = watch::channel(if mutant == Mutant::IgnoreEndpointList {
-            nobody
+        let runtime = MutantRuntime { sockets, mutant: state };
+        // Nothing listens on this port, so the mutant keeps the endpoint list of its configuration.
+        let unreachable = SocketAddr::from(([127, 0, 0, 1], 1));
+        let (_sender, discovery_address) = watch::channel(if mutant == Mutant::IgnoreEndpointList {
+            unreachable
         } else {
-            given.discovery_address
+            config.discovery_address
         });
-        let parts = assembly::assemble(&world, &given);
-        if let Some(at) = given.admin_address {
-            let operators = parts
-                .admin_api(&world, Arc::new(FileStore::for_balancer(&std::env::temp_dir(), &given.name)));
-            let listener =
-                world.listen(at, 128 << 10, 64).map_err(|error| format!("control {at}: {error}"))?;
-            tokio::spawn(admin::serve(listener, operators));
+        let parts = assembly::assemble(&runtime, &config);
+        if let Some(address) = config.admin_address {
+            let overrides = FileStore::for_balancer(&std::env::temp_dir(), &config.name);
+            let admin_api = parts.admin_api(&runtime, Arc::new(overrides));
+            let listener = runtime
+                .listen(address, 128 << 10, 64)
+                .map_err(|error| format!("control {address}: {error}"))?;
+            tokio::spawn(admin::serve(listener, admin_api));
         }
-        let ask = async move {
-            asked.recv().await;
+        let shutdown = async move {
+            terminate.recv().await;
             if mutant == Mutant::IgnoreTermination {
                 std::future::pending().await
             }
         };
-        let served = assembly::serve(world, parts, given, of_list, None, Ticks(30_000), ask).await;
-        served.map_err(|error| error.to_string())
+        let result =
+            assembly::serve(runtime, parts, config, discovery_address, None, Ticks(30_000), shutdown).await;
+        result.map_err(|error| error.to_string())
     })
 }
 
 fn main() -> ExitCode {
-    let call: Arguments = argh::from_env();
-    match serve(&call) {
+    let arguments: Arguments = argh::from_env();
+    match serve(&arguments) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("doorproxy-mutant: {fault}");
+        Err(error) => {
+            eprintln!("doorproxy-mutant: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/process-tests/src/cluster.rs
+++ b/crates/process-tests/src/cluster.rs
@@ -1,5 +1,5 @@
-//! Runs a scenario: starts the balancers and the test endpoints, injects the faults at their times, and checks the history.
-//! The cluster owns every process and task of a run, and leaves none behind.
+//! Runs a scenario: starts the balancers and the test endpoints, injects the faults at their times, and
+//! checks the history. The cluster owns every process and task of a run and ends them all.
 
 mod balancer_config;
 mod end_checks;
@@ -33,71 +33,74 @@
 use crate::permit_worker::PermitWorker;
 use crate::scenario::{Scenario, StateDirectoryCondition};
 
-/// Longer than any step takes on a machine with all cores busy: only a run that has failed waits so long.
+/// The timeout of a step of a run. It is longer than any step takes on a machine with all cores busy, so only
+/// a run that has failed waits so long.
 pub const HANG_TIMEOUT: Micros = 60 * SECOND;
-/// How often exits are looked for.
+/// The interval at which the cluster checks for exited processes and due faults.
 const LOOP_INTERVAL: Micros = 10 * MS;
-/// Attempts of one request, as the settings allow a balancer.
+/// The number of attempts of one request that the settings allow a balancer.
 pub const MAX_ATTEMPTS: usize = 4;
 const RUNTIME_SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Which program runs, and where.
+/// The program that a run starts as balancers, and its directory.
 #[derive(Clone, Debug)]
 pub struct RunOptions {
-    /// The program.
+    /// The path of the program.
     pub program: PathBuf,
-    /// Its arguments before those of every balancer.
+    /// The arguments before those that every balancer gets.
     pub arguments: Vec<String>,
-    /// Logs, state directories and the history are here.
+    /// The directory of logs, state directories and the history.
     pub directory: PathBuf,
-    /// What does not end, or is not served, within this counts as stuck: [`HANG_TIMEOUT`], less for mutants.
+    /// The time after which a balancer that does not exit or does not serve counts as stuck:
+    /// [`HANG_TIMEOUT`], or less for mutants.
     pub hang_timeout: Micros,
 }
 
 impl RunOptions {
-    /// The program as it was built beside this one.
+    /// Returns the options with the program `doorproxy` that was built beside this one.
     ///
     /// # Errors
-    /// Where it is not there: how to build it.
-    pub fn with_built_program(folder: &Path) -> Result<RunOptions, String> {
+    ///
+    /// Fails if there is no such program; the error says how to build it.
+    pub fn with_built_program(directory: &Path) -> Result<RunOptions, String> {
         let own = std::env::current_exe().map_err(|error| error.to_string())?;
         let program =
             own.ancestors().skip(1).take(2).map(|above| above.join("doorproxy")).find(|path| path.is_file());
         let program = program.ok_or_else(|| {
             format!(
-                "no program doorproxy beside {}: build it with `cargo build -p doorproxy-cli`",
+                "{}: there is no program doorproxy beside it; build it with `cargo build -p doorproxy-cli`",
                 own.display()
             )
         })?;
         Ok(RunOptions {
             program,
             arguments: Vec::new(),
-            directory: folder.to_path_buf(),
+            directory: directory.to_path_buf(),
             hang_timeout: HANG_TIMEOUT,
         })
     }
 
-    /// Where the history is written.
+    /// Returns the path of the history.
     pub fn history_path(&self) -> PathBuf {
         self.directory.join("history.jsonl")
     }
 }
 
-/// What is known after a run.
+/// The result of a run.
 #[derive(Debug)]
 pub struct RunReport {
-    /// What happened.
+    /// The observed events.
     pub history: History,
-    /// The rules that broke, and how.
+    /// The violations of rules in the history.
     pub violations: Vec<Violation>,
-    /// How late the harness ran at the worst; a measurement with more than [`MAX_LATENESS`] is void.
+    /// The largest delay of the test harness; a measurement with more than [`MAX_LATENESS`] is void.
     pub max_lateness: Micros,
-    /// When the load began and ended.
+    /// The times at which the load began and ended.
     pub load_period: (Micros, Micros),
 }
 
 impl RunReport {
-    /// The rules that broke, each once.
+    /// Returns the violated rules, each once.
     pub fn violated_rules(&self) -> BTreeSet<&'static str> {
         self.violations.iter().map(|violation| violation.rule).collect()
     }
@@ -107,7 +110,8 @@
 ///
 /// # Errors
 ///
-/// Fails where the harness could not be set up or kept up; what the balancers did wrong is in the violations.
+/// Fails if the test cluster cannot be set up or its load does not end; what balancers do wrong is reported
+/// as violations.
 pub fn run_scenario(scenario: &Scenario, options: &RunOptions) -> Result<RunReport, String> {
     std::fs::create_dir_all(&options.directory)
         .map_err(|error| format!("{}: {error}", options.directory.display()))?;
@@ -115,12 +119,13 @@
         .worker_threads(2)
         .enable_all()
         .build()
-        .map_err(|error| format!("no runtime: {error}"))?;
+        .map_err(|error| format!("tokio runtime: {error}"))?;
     let clock = Clock::start();
     let writer = HistoryWriter::create(&options.history_path(), clock).map_err(|error| error.to_string())?;
     let writer = Arc::new(writer);
     let lateness = LatenessMonitor::start(writer.clone());
-    // Processes are started from this thread and die with it.
+    // Processes must be started from this thread: the kernel kills them when the thread that started them
+    // ends.
     let load_period = runtime
         .block_on(async { Cluster::set_up(scenario, options, clock, writer.clone()).await?.run().await });
     let max_lateness = lateness.stop();
@@ -132,6 +137,7 @@
     Ok(RunReport { history, violations, max_lateness, load_period })
 }
 
+/// The parts of a run.
 struct Cluster {
     scenario: Scenario,
     clock: Clock,
@@ -143,12 +149,12 @@
     duplicate_processes: Vec<(String, Child)>,
     load_generator: Arc<LoadGenerator>,
     initial_lists: BTreeMap<String, Value>,
-    /// The endpoint list when the last process of a balancer ended.
+    /// The endpoint list at the time when the last process of each balancer ended.
     last_lists: BTreeMap<String, Value>,
     listen_waiters: BTreeMap<String, JoinHandle<()>>,
     paused: BTreeSet<String>,
     hang_timeout: Micros,
-    /// Relays of datagrams among balancers.
+    /// The relays of datagrams among balancers, which run until this is dropped.
     _datagram_relays: Option<JoinSet<()>>,
     tasks: JoinSet<()>,
 }
@@ -171,7 +177,7 @@
         self.record(Event::Process { node: node.to_string(), id, did });
     }
 
-    /// Runs the load and the faults; the time of the load.
+    /// Runs the load and the faults; returns the times at which the load began and ended.
     async fn run(mut self) -> Result<(Micros, Micros), String> {
         let names: Vec<String> = self.nodes.keys().cloned().collect();
         for name in &names {
@@ -210,7 +216,7 @@
         Ok(())
     }
 
-    /// Starts what asks balancers for their members and for permits.
+    /// Starts the tasks that poll the balancers for their members and take permits.
     fn spawn_observers(&mut self, names: &[String]) {
         if self.scenario.fleet.registry_replicas.is_some() {
             for name in names {
@@ -232,7 +238,7 @@
         }
     }
 
-    /// Performs the steps of the faults at their times, until they and the load are over.
+    /// Runs the load and performs the steps of the faults at their times, until all are over.
     async fn run_load(&mut self, begin: Micros, end: Micros) -> Result<(), String> {
         let mut load = tokio::spawn(self.load_generator.clone().generate_load(end));
         let mut steps = self.schedule_faults(begin);
@@ -250,7 +256,7 @@
             }
             if self.clock.now() > latest_end {
                 load.abort();
-                return Err("ops did not come to their ends".to_string());
+                return Err("load: some requests did not end".to_string());
             }
             clock::sleep(LOOP_INTERVAL).await;
         }
--- a/crates/process-tests/src/cluster/end_checks.rs
+++ b/crates/process-tests/src/cluster/end_checks.rs
@@ -1,4 +1,4 @@
-//! What must hold at the end of a run, when all faults are over.
+//! The checks at the end of a run, when all faults are over.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::scenario::FaultTarget;
 
 impl Cluster {
-    /// All running balancers report the same operator overrides in the end.
+    /// Waits until all running balancers report the same operator overrides, and records it if they never do.
     pub(super) async fn check_overrides_agree(&self) {
         let running = || self.nodes.iter().filter(|(_, node)| node.child.is_some());
         let until = self.clock.now() + self.hang_timeout;
@@ -25,9 +25,8 @@
                 let body = answer.ok().and_then(Result::ok).map(|(_, body)| body).unwrap_or_default();
                 let overrides = serde_json::from_slice::<Value>(&body).unwrap_or_default();
                 let overrides = overrides["verdicts"]["words"].as_array().cloned().unwrap_or_default();
-                let override_text = |override_text: &Value| {
-                    format!("{} {} {}", override_text["name"], override_text["out"], override_text["version"])
-                };
+                let override_text =
+                    |entry: &Value| format!("{} {} {}", entry["name"], entry["out"], entry["version"]);
                 answers
                     .entry(overrides.iter().map(override_text).collect::<Vec<_>>().join(", "))
                     .or_default()
@@ -43,7 +42,8 @@
         }
     }
 
-    /// Ends the faults that have no end of their own; then each running balancer serves.
+    /// Ends the faults that have no duration, then waits until each running balancer serves a request, and
+    /// records those that do not.
     pub(super) async fn check_all_serve(&mut self) {
         let paused = std::mem::take(&mut self.paused);
         for name in &paused {
--- a/crates/process-tests/src/cluster/faults.rs
+++ b/crates/process-tests/src/cluster/faults.rs
@@ -1,4 +1,4 @@
-//! What each kind of fault does when it begins and when it ends.
+//! The actions that begin and end each kind of fault.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use crate::scenario::{ConfiguredList, Fault, FaultKind, FaultTarget, StateDirectoryCondition};
 
 impl Cluster {
-    /// Begins a fault; the index is that of the fault in the scenario.
+    /// Begins a fault; `index` is its position in the scenario.
     pub(super) async fn begin_fault(&mut self, index: usize, fault: &Fault) -> Result<(), String> {
         let targets = || self.scenario.matching_nodes(&fault.targets);
         match fault.kind {
@@ -64,10 +64,10 @@
         Ok(())
     }
 
-    /// Starts a second process of a balancer beside the one that runs.
+    /// Starts a second process of a balancer while the first still runs.
     fn start_duplicate(&mut self, name: String, fault: &Fault) -> Result<(), String> {
         let config = self.balancer_config(&name, ConfiguredList::Last);
-        let node = self.nodes.get_mut(&name).ok_or("a node")?;
+        let node = self.nodes.get_mut(&name).ok_or_else(|| format!("{name}: there is no such balancer"))?;
         let child = with_context(&name, node.spawn(&config, fault.state_directory))?;
         let event = Event::Process { node: format!("{name}+"), id: child.id(), did: ProcessChange::Started };
         self.record(event);
@@ -75,7 +75,7 @@
         Ok(())
     }
 
-    /// Ends a fault; the index is that of the fault in the scenario.
+    /// Ends a fault; `index` is its position in the scenario.
     pub(super) async fn end_fault(&mut self, index: usize, fault: &Fault) -> Result<(), String> {
         let targets = || self.scenario.matching_nodes(&fault.targets);
         match fault.kind {
@@ -104,8 +104,8 @@
             FaultKind::SlowDown | FaultKind::AnswerErrors | FaultKind::Hang | FaultKind::DeclineAll => {
                 self.set_upstream_behavior(fault, false)?
             }
-            FaultKind::DiscoveryOutage => with_context("the list", self.discovery.start().await)?,
-            what if what.target() == FaultTarget::Paths => {
+            FaultKind::DiscoveryOutage => with_context("discovery", self.discovery.start().await)?,
+            kind if kind.target() == FaultTarget::Paths => {
                 for (from, to) in self.scenario.matching_paths(&fault.paths)? {
                     self.proxy.set_fault(&from, &to, index as u64, None);
                 }
@@ -115,13 +115,13 @@
         Ok(())
     }
 
-    /// Starts an endpoint anew and lists it.
+    /// Restarts an endpoint and adds it to the endpoint list.
     async fn start_upstream(&self, name: &str, state: &'static str) -> Result<(), String> {
         let upstream = &self.upstreams[name];
-        // Two faults may end one after the other.
+        // The endpoint runs already if another fault has restarted it.
         upstream.kill();
         let until = self.clock.now() + HANG_TIMEOUT;
-        // Connections of the last process may hold its address for a moment.
+        // Connections of the previous process may keep the address in use for a moment.
         while let Err(error) = upstream.start(true).await {
             if self.clock.now() > until {
                 return Err(format!("{name}: {error}"));
@@ -132,7 +132,7 @@
         Ok(())
     }
 
-    /// Begins or ends a misbehaviour of endpoints.
+    /// Makes endpoints misbehave, or ends their misbehaviour.
     fn set_upstream_behavior(&self, fault: &Fault, begins: bool) -> Result<(), String> {
         for name in self.scenario.matching_nodes(&fault.targets)? {
             self.upstreams[&name].change_behavior(|behavior| match fault.kind {
@@ -145,9 +145,10 @@
         Ok(())
     }
 
-    /// Starts a balancer again, with the state directory that the fault gives it.
+    /// Restarts a balancer, with the state directory in the condition that the fault states.
     pub(super) fn restart_balancer(&mut self, name: &str, fault: &Fault) -> Result<(), String> {
-        // A process that was asked to end and still runs is killed, as a platform does; so is a duplicate.
+        // A process that was asked to exit and still runs is killed, as a service manager does; so is a
+        // duplicate.
         self.kill_balancer(name);
         self.duplicate_processes.retain_mut(|(balancer, child)| {
             let is_other = balancer != name;
@@ -170,25 +171,26 @@
         self.start_balancer(name, fault.configured_list, fault.state_directory)
     }
 
-    /// Ejects endpoints manually, or takes that back.
+    /// Ejects endpoints by hand through the admin API, or ends the ejection.
     async fn request_manual_ejection(&self, fault: &Fault, out: bool) -> Result<(), String> {
         let (servers, nodes) = self.scenario.parse_manual_ejection(&fault.targets)?;
-        let whole = fault.kind == FaultKind::FleetEjection;
-        let whose = if whole { "_fleet" } else { "_upstreams" };
-        let call = format!("POST /{whose}/{}", if out { "detach" } else { "attach" });
+        let is_fleet_wide = fault.kind == FaultKind::FleetEjection;
+        let scope = if is_fleet_wide { "_fleet" } else { "_upstreams" };
+        let call = format!("POST /{scope}/{}", if out { "detach" } else { "attach" });
         for (node, server) in nodes.iter().flat_map(|node| servers.iter().map(move |server| (node, server))) {
-            let at = self.proxy.addresses.admin(node);
-            let (of, to) = (node.clone(), server.clone());
-            let event = match whole {
-                true => Event::FleetOverride { node: of, server: to, out },
-                false => Event::ManualOverride { node: of, server: to, out },
+            let admin_address = self.proxy.addresses.admin(node);
+            let (node, server_name) = (node.clone(), server.clone());
+            let event = match is_fleet_wide {
+                true => Event::FleetOverride { node, server: server_name, out },
+                false => Event::ManualOverride { node, server: server_name, out },
             };
             if !out {
-                // It may be back from now on, also where the confirmation never arrives.
+                // The endpoint may be in use again from now on, even if the response is lost.
                 self.record(event.clone());
             }
-            let asked = tokio::time::timeout(Duration::from_secs(5), admin_request(at, &call, server)).await;
-            if out && matches!(asked, Ok(Ok((200, _)))) {
+            let request = admin_request(admin_address, &call, server);
+            let response = tokio::time::timeout(Duration::from_secs(5), request).await;
+            if out && matches!(response, Ok(Ok((200, _)))) {
                 self.record(event);
             }
         }
--- a/crates/process-tests/src/cluster/processes.rs
+++ b/crates/process-tests/src/cluster/processes.rs
@@ -18,7 +18,7 @@
     ) -> Result<(), String> {
         let config = self.balancer_config(node, list);
         self.record(self.configured_list_event(node, &config["known"]));
-        let entry = self.nodes.get_mut(node).ok_or("a node")?;
+        let entry = self.nodes.get_mut(node).ok_or_else(|| format!("{node}: there is no such balancer"))?;
         let child = with_context(node, entry.spawn(&config, condition))?;
         entry.child = Some(child);
         self.record_process(node, ProcessChange::Started);
@@ -36,7 +36,8 @@
         Ok(())
     }
 
-    /// A balancer's process is gone: nobody listens there, and the endpoint list is kept for the next process.
+    /// Handles the end of a balancer's process: its relays refuse connections, and the current endpoint list
+    /// is kept for the configuration of the next process.
     pub(super) fn on_process_gone(&mut self, node: &str) {
         if let Some(waiter) = self.listen_waiters.remove(node) {
             waiter.abort();
@@ -51,7 +52,7 @@
         if self.nodes[node].child.is_none() {
             return;
         }
-        // Recorded before the kill, so that no consequence precedes it in the history.
+        // This is recorded before the kill, so that no consequence precedes it in the history.
         self.record_process(node, ProcessChange::Killed);
         if let Some(node) = self.nodes.get_mut(node) {
             node.kill();
--- a/crates/process-tests/src/cluster/schedule.rs
+++ b/crates/process-tests/src/cluster/schedule.rs
@@ -1,4 +1,4 @@
-//! When each fault begins and ends.
+//! The schedule of a run: the times at which each fault begins and ends.
 
 use std::collections::BTreeMap;
 
@@ -8,16 +8,19 @@
 use super::{Cluster, micros_from_secs};
 use crate::scenario::{Fault, FaultKind, FaultTarget};
 
-/// A step of the schedule; the number is that of the fault in the scenario.
+/// A step of the schedule; the number is the position of the fault in the scenario.
 #[derive(Clone, Debug)]
 pub(super) enum FaultStep {
+    /// The fault begins.
     Begin(usize),
+    /// The fault ends.
     End(usize),
-    /// A balancer that the fault ended comes back.
+    /// A balancer that the fault killed or terminated is restarted.
     Restart(usize, String),
 }
 
 impl Cluster {
+    /// Returns the steps of all faults in the order of their times, for a load that begins at this time.
     pub(super) fn schedule_faults(&self, begin: Micros) -> BTreeMap<(Micros, usize), FaultStep> {
         let mut steps = Vec::new();
         for (index, fault) in self.scenario.faults.iter().enumerate() {
@@ -27,7 +30,7 @@
             if matches!(fault.kind, FaultKind::Kill | FaultKind::Terminate) {
                 let nodes = self.scenario.matching_nodes(&fault.targets).unwrap_or_default();
                 let spacing = micros_from_secs(fault.restart_spread_s) / nodes.len().max(1) as u64;
-                // Without a duration it stays down.
+                // Without a duration the balancer stays down.
                 let returning = nodes.into_iter().filter(|_| fault.duration_s > 0.0).enumerate();
                 steps
                     .extend(returning.map(|(order, name)| {
@@ -40,6 +43,7 @@
         steps.into_iter().enumerate().map(|(number, (at, step))| ((at, number), step)).collect()
     }
 
+    /// Records that a fault begins or is over, with the network paths that it affects.
     pub(super) fn record_fault(&self, fault: &Fault, is_over: bool) {
         let paths = match fault.kind.target() {
             FaultTarget::Paths => self.scenario.matching_paths(&fault.paths).unwrap_or_default(),
@@ -49,6 +53,7 @@
         self.record(Event::Fault { text: fault.to_string(), ways: paths, over: is_over });
     }
 
+    /// Performs a step and records it.
     pub(super) async fn perform_step(&mut self, step: FaultStep) -> Result<(), String> {
         match step {
             FaultStep::Begin(index) => {
--- a/crates/process-tests/src/cluster/set_up.rs
+++ b/crates/process-tests/src/cluster/set_up.rs
@@ -1,4 +1,5 @@
-//! Sets up the parts of a run: the proxy, the test endpoints, the balancers' folders and the load generator.
+//! Sets up the parts of a run: the fault proxy, the test endpoints, the balancers' directories and the load
+//! generator.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -18,11 +19,11 @@
 use crate::node::Node;
 use crate::scenario::{Load, Scenario};
 
-/// The key that balancers share, as its file has it.
+/// A byte of the key that balancers share, in the hexadecimal form of the key file.
 const PEER_KEY_BYTE: &str = "5a";
 const PEER_KEY_BYTES: usize = 32;
 
-/// What every part of a run is made of.
+/// The inputs that the parts of a run need.
 struct Parts<'a> {
     scenario: &'a Scenario,
     options: &'a RunOptions,
@@ -33,7 +34,7 @@
 }
 
 impl Cluster {
-    /// Sets up a run; no balancer has started then.
+    /// Sets up a run without starting a balancer.
     pub(super) async fn set_up(
         scenario: &Scenario,
         options: &RunOptions,
@@ -51,7 +52,7 @@
         let mut tasks = JoinSet::new();
         let discovery = parts.discovery();
         let upstreams = parts.start_upstreams(&discovery, &mut tasks).await?;
-        with_context("the list", discovery.start().await)?;
+        with_context("discovery", discovery.start().await)?;
         let datagram_relays = parts.relay_datagrams().await?;
         let nodes = parts.prepare_nodes(&mut tasks)?;
         let load_generator = parts.load_generator();
@@ -91,7 +92,7 @@
         )
     }
 
-    /// Starts and lists the endpoints, with a relay from each balancer.
+    /// Starts the endpoints, adds them to the endpoint list, and starts a relay to each from each balancer.
     async fn start_upstreams(
         &self,
         discovery: &DiscoveryService,
@@ -126,21 +127,21 @@
         Ok(upstreams)
     }
 
-    /// Relays datagrams among balancers that know each other.
+    /// Starts the relays of datagrams, if balancers know each other.
     async fn relay_datagrams(&self) -> Result<Option<JoinSet<()>>, String> {
         if self.scenario.fleet.registry_replicas.is_none() {
             return Ok(None);
         }
         let relays = self.proxy.clone().relay_datagrams(self.balancers.clone()).await;
-        with_context("relays of datagrams", relays).map(Some)
+        with_context("datagram relays", relays).map(Some)
     }
 
-    /// Makes the balancers' folders, with relays to discovery and from the clients.
+    /// Creates the balancers' directories, and starts their relays to discovery and from the clients.
     fn prepare_nodes(&self, tasks: &mut JoinSet<()>) -> Result<BTreeMap<String, Node>, String> {
         let RunOptions { program, arguments, directory, .. } = self.options;
         let fleet = &self.scenario.fleet;
         let key = directory.join("peers.key");
-        with_context("the key", std::fs::write(&key, PEER_KEY_BYTE.repeat(PEER_KEY_BYTES)))?;
+        with_context("peers.key", std::fs::write(&key, PEER_KEY_BYTE.repeat(PEER_KEY_BYTES)))?;
         let mut nodes = BTreeMap::new();
         for name in &self.balancers {
             self.proxy.set_down(name, true);
--- a/crates/process-tests/src/main.rs
+++ b/crates/process-tests/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of the test cluster.
+//! The command line of the test cluster: runs scenarios, checks histories and prints measurements.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -16,7 +16,7 @@
 use doorproxy_process_tests::shrink::Shrinker;
 use doorproxy_test_servers::clock::MS;
 
-/// Several real doorproxy programs on loopback, under faults.
+/// Run several doorproxy processes on loopback under faults and check what they do.
 #[derive(FromArgs)]
 struct Arguments {
     #[argh(subcommand)]
@@ -33,38 +33,38 @@
     Measure(Measure),
 }
 
-/// Play one scenario, or the one of a seed, and check its history.
+/// Run one scenario, or the one that a seed generates, and check its history.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "play")]
 struct Play {
-    /// the scenario, a TOML file
+    /// the file of the scenario, in TOML
     #[argh(option, long = "script")]
     scenario: Option<PathBuf>,
-    /// in place of a script: the seed that it is drawn from
+    /// the seed from which to generate a scenario, in place of --script
     #[argh(option)]
     seed: Option<u64>,
-    /// where history, logs and folders are left (default: nowhere)
+    /// the directory that keeps the history, logs and state directories (default: none are kept)
     #[argh(option)]
     out: Option<PathBuf>,
     /// another program than the doorproxy beside this one
     #[argh(option)]
     program: Option<PathBuf>,
-    /// play the faulty balancer of this name
+    /// the mutant to run in place of doorproxy
     #[argh(option)]
     mutant: Option<String>,
-    /// where a rule breaks, make the script smaller and print it
+    /// after a violation, shrink the scenario and print it
     #[argh(switch)]
     shrink: bool,
 }
 
-/// Play the scripts of many seeds, several at a time; print the small script of the first that breaks a rule.
+/// Run the scenarios of many seeds, several at a time; print the first violation of each.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "campaign")]
 struct Campaign {
-    /// the seeds, as in 0..300
+    /// the range of seeds, such as 0..300
     #[argh(option)]
     seeds: String,
-    /// how many are played side by side (default 3)
+    /// the number of concurrent runs (default 3)
     #[argh(option, default = "3")]
     jobs: usize,
     /// another program than the doorproxy beside this one
@@ -72,19 +72,19 @@
     program: Option<PathBuf>,
 }
 
-/// Check a history that was kept.
+/// Check a history that an earlier run kept.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct Check {
-    /// the script of which it is
+    /// the file of the scenario that was run
     #[argh(option, long = "script")]
     scenario: PathBuf,
-    /// the history
+    /// the file of the history
     #[argh(positional)]
     history: PathBuf,
 }
 
-/// Print the script of a seed.
+/// Print the scenario that a seed generates.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "draw")]
 struct Draw {
@@ -93,45 +93,47 @@
     seed: u64,
 }
 
-/// Measure how the fleet comes back after a fault, or how well it uses a limit, over many seeds.
+/// Measure over many seeds how a fleet recovers, how well it uses a limit, or what fault reports bring.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "measure")]
 struct Measure {
-    /// what to measure: return, limits or claims
+    /// the measurement: return (recovery after a fault), limits (use of a limit) or claims (fault reports)
     #[argh(positional)]
     what: String,
-    /// the cases, by name (default: all)
+    /// the names of the cases of return to measure (default: all)
     #[argh(positional)]
     cases: Vec<String>,
-    /// the seeds, as in 0..20
+    /// the range of seeds, such as 0..20
     #[argh(option, default = "String::from(\"0..20\")")]
     seeds: String,
-    /// how many are played side by side (default 4); with more the stage is late, and plays are void
+    /// the number of concurrent runs (default 4); with more, the test cluster is delayed and runs are void
     #[argh(option, default = "4")]
     jobs: usize,
     /// another program than the doorproxy beside this one
     #[argh(option)]
     program: Option<PathBuf>,
-    /// in place of plays: the readings of earlier calls, as they printed them with --json; may be given several times.
-    /// One process has descriptors for few plays at once, so calls of one seed each are run side by side and then read
+    /// a file with the results of an earlier call with --json, to merge in place of new runs; may be
+    /// repeated. One process has file descriptors for only a few concurrent runs, so run one process for each
+    /// seed and merge their results
     #[argh(option)]
     read: Vec<PathBuf>,
-    /// print the readings as JSON
+    /// print the results as JSON
     #[argh(switch)]
     json: bool,
-    /// draw service and load over time into this file
+    /// write a plot of service and load over time to this file
     #[argh(option)]
     svg: Option<PathBuf>,
 }
 
 fn run_options(
-    folder: &Path,
+    directory: &Path,
     program: Option<&PathBuf>,
     mutant: Option<&String>,
 ) -> Result<RunOptions, String> {
-    // Processes are given folders by whole paths.
-    let folder = std::path::absolute(folder).map_err(|error| format!("{}: {error}", folder.display()))?;
-    let mut options = RunOptions::with_built_program(&folder)?;
+    // Balancers get the paths of their directories, which must be absolute.
+    let directory =
+        std::path::absolute(directory).map_err(|error| format!("{}: {error}", directory.display()))?;
+    let mut options = RunOptions::with_built_program(&directory)?;
     if let Some(program) = program {
         options.program = program.clone();
     }
@@ -147,14 +149,14 @@
     Scenario::parse(&text).map_err(|error| format!("{}: {error}", path.display()))
 }
 
-fn print_report(played: &RunReport) {
-    for violation in &played.violations {
+fn print_report(report: &RunReport) {
+    for violation in &report.violations {
         println!("{:>9.3} s {}: {}", violation.at as f64 / 1e6, violation.rule, violation.text);
     }
-    let (lines, late) = (played.history.lines.len(), played.max_lateness / MS);
+    let (lines, late) = (report.history.lines.len(), report.max_lateness / MS);
     println!(
-        "{} violations in {lines} lines of history; the stage was {late} ms late at the worst",
-        played.violations.len()
+        "{} violations in {lines} lines of history; the largest delay of the test cluster was {late} ms",
+        report.violations.len()
     );
 }
 
@@ -162,26 +164,26 @@
     let scenario = match (&call.scenario, call.seed) {
         (Some(path), None) => load_scenario(path)?,
         (None, Some(seed)) => generate(seed),
-        _ => return Err("either --script or --seed expected".to_string()),
+        _ => return Err("--script or --seed: give exactly one of them".to_string()),
     };
     let scratch = tempfile::tempdir().map_err(|error| error.to_string())?;
-    let folder = call.out.clone().unwrap_or_else(|| scratch.path().to_path_buf());
-    let options = run_options(&folder, call.program.as_ref(), call.mutant.as_ref())?;
-    let played = run_scenario(&scenario, &options)?;
-    print_report(&played);
-    if let Some(first) = played.violations.first().filter(|_| call.shrink) {
+    let directory = call.out.clone().unwrap_or_else(|| scratch.path().to_path_buf());
+    let options = run_options(&directory, call.program.as_ref(), call.mutant.as_ref())?;
+    let report = run_scenario(&scenario, &options)?;
+    print_report(&report);
+    if let Some(first) = report.violations.first().filter(|_| call.shrink) {
         let mut shrinker = Shrinker::new(&scenario, |scenario| {
-            run_scenario(scenario, &options).is_ok_and(|played| played.violated_rules().contains(first.rule))
+            run_scenario(scenario, &options).is_ok_and(|report| report.violated_rules().contains(first.rule))
         });
-        let small = shrinker.shrink();
-        println!("# {} after {} plays\n{}", first.rule, shrinker.run_count, small.to_toml());
+        let smallest = shrinker.shrink();
+        println!("# {} after {} runs\n{}", first.rule, shrinker.run_count, smallest.to_toml());
     }
-    Ok(played.violations.is_empty())
+    Ok(report.violations.is_empty())
 }
 
 fn parse_seed_range(text: &str) -> Result<std::ops::Range<u64>, String> {
     let ends = text.split_once("..").and_then(|(a, b)| Some(a.parse().ok()?..b.parse().ok()?));
-    ends.ok_or_else(|| format!("seeds as in 0..300 expected, not {text:?}"))
+    ends.ok_or_else(|| format!("--seeds: {text:?} is not a range of seeds such as 0..300"))
 }
 
 fn run_measure(call: &Measure) -> Result<bool, String> {
@@ -189,14 +191,14 @@
         "return" => {}
         "limits" => return measure_quotas(call),
         "claims" => return measure_fault_reports(call),
-        what => return Err(format!("`measure return`, `limits` or `claims` expected, not {what:?}")),
+        what => return Err(format!("measure: {what:?} is none of return, limits and claims")),
     }
     let rows = if call.read.is_empty() {
         let cases = recovery_measurement::select_cases(&call.cases)?;
-        // Fails here and not in the middle, where there is no program.
-        let usual = run_options(Path::new("."), call.program.as_ref(), None)?;
-        recovery_measurement::measure_cases(&cases, parse_seed_range(&call.seeds)?, call.jobs, |folder| {
-            RunOptions { directory: folder.to_path_buf(), ..usual.clone() }
+        // A missing program is an error here, before any run.
+        let defaults = run_options(Path::new("."), call.program.as_ref(), None)?;
+        recovery_measurement::measure_cases(&cases, parse_seed_range(&call.seeds)?, call.jobs, |directory| {
+            RunOptions { directory: directory.to_path_buf(), ..defaults.clone() }
         })?
     } else {
         let text = |path: &PathBuf| {
@@ -216,14 +218,14 @@
     }
     let violations: usize = rows.iter().flat_map(|row| &row.readings).map(|reading| reading.violations).sum();
     if violations > 0 {
-        eprintln!("{violations} violations of the rules on the way");
+        eprintln!("{violations} violations of rules during the measured runs");
     }
     Ok(violations == 0)
 }
 
 fn measure_quotas(call: &Measure) -> Result<bool, String> {
-    let usual = run_options(Path::new("."), call.program.as_ref(), None)?;
-    let options = |folder: &Path| RunOptions { directory: folder.to_path_buf(), ..usual.clone() };
+    let defaults = run_options(Path::new("."), call.program.as_ref(), None)?;
+    let options = |directory: &Path| RunOptions { directory: directory.to_path_buf(), ..defaults.clone() };
     let rows = quota_measurement::measure_cases(parse_seed_range(&call.seeds)?, call.jobs, options)?;
     if call.json {
         println!("{}", serde_json::to_string(&rows).map_err(|error| error.to_string())?);
@@ -234,8 +236,8 @@
 }
 
 fn measure_fault_reports(call: &Measure) -> Result<bool, String> {
-    let usual = run_options(Path::new("."), call.program.as_ref(), None)?;
-    let options = |folder: &Path| RunOptions { directory: folder.to_path_buf(), ..usual.clone() };
+    let defaults = run_options(Path::new("."), call.program.as_ref(), None)?;
+    let options = |directory: &Path| RunOptions { directory: directory.to_path_buf(), ..defaults.clone() };
     let rows = fault_report_measurement::measure_cases(parse_seed_range(&call.seeds)?, call.jobs, options)?;
     if call.json {
         println!("{}", serde_json::to_string(&rows).map_err(|error| error.to_string())?);
@@ -258,57 +260,59 @@
                     if seed >= end {
                         return;
                     }
-                    let played = tempfile::tempdir().map_err(|error| error.to_string()).and_then(|folder| {
-                        let options = run_options(folder.path(), call.program.as_ref(), None)?;
-                        run_scenario(&generate(seed), &options)
-                    });
-                    let told = match &played {
-                        Ok(played) if played.violations.is_empty() => None,
-                        Ok(played) => Some(format!("seed {seed}: {:?}", played.violations[0])),
-                        Err(error) => Some(format!("seed {seed} was not played: {error}")),
+                    let result =
+                        tempfile::tempdir().map_err(|error| error.to_string()).and_then(|directory| {
+                            let options = run_options(directory.path(), call.program.as_ref(), None)?;
+                            run_scenario(&generate(seed), &options)
+                        });
+                    let message = match &result {
+                        Ok(report) if report.violations.is_empty() => None,
+                        Ok(report) => Some(format!("seed {seed}: {:?}", report.violations[0])),
+                        Err(error) => Some(format!("seed {seed} was not run: {error}")),
                     };
-                    if let Some(told) = &told {
-                        println!("{told}");
+                    if let Some(message) = &message {
+                        println!("{message}");
                     }
-                    results.lock().expect("no panic while it is held").push(told.is_none());
+                    results.lock().expect("no panic while it is locked").push(message.is_none());
                 }
             });
         }
     });
-    let results = results.into_inner().expect("no panic while it is held");
-    let bad = results.iter().filter(|is_good| !**is_good).count();
+    let results = results.into_inner().expect("no panic while it is locked");
+    let failed = results.iter().filter(|passed| !**passed).count();
     println!(
-        "{} seeds, {bad} violations or not played, {:.0} s",
+        "{} seeds, {failed} with violations or not run, {:.0} s",
         results.len(),
         begun.elapsed().as_secs_f64()
     );
-    Ok(bad == 0)
+    Ok(failed == 0)
 }
 
 fn run_check(call: &Check) -> Result<bool, String> {
     let history = history::read_history(&call.history)?;
     if history.is_truncated {
-        println!("the history was cut off: what its end would show is not checked");
+        println!("the history is truncated: rules on its end are not checked");
     }
     let violations = checkers::check_history(&load_scenario(&call.scenario)?, &history);
-    let played = RunReport { history, violations, max_lateness: 0, load_period: (0, 0) };
-    print_report(&played);
-    Ok(played.violations.is_empty())
+    let report = RunReport { history, violations, max_lateness: 0, load_period: (0, 0) };
+    print_report(&report);
+    Ok(report.violations.is_empty())
 }
 
-/// Thousands of requests that wait at once hold six descriptors each, and several plays go on side by side.
+/// The limit of open files: each of thousands of waiting requests holds six descriptors, and several runs are
+/// concurrent.
 const MAX_OPEN_FILES: u64 = 200_000;
 
 fn main() -> ExitCode {
     use nix::sys::resource::{Resource, getrlimit, setrlimit};
-    // Only some may raise the upper bound; the others use what there is.
+    // Raising the hard limit needs privileges; without them the soft limit is raised to the hard one.
     if setrlimit(Resource::RLIMIT_NOFILE, MAX_OPEN_FILES, MAX_OPEN_FILES).is_err()
-        && let Ok((_, most)) = getrlimit(Resource::RLIMIT_NOFILE)
+        && let Ok((_, hard_limit)) = getrlimit(Resource::RLIMIT_NOFILE)
     {
-        let _ = setrlimit(Resource::RLIMIT_NOFILE, most, most);
+        let _ = setrlimit(Resource::RLIMIT_NOFILE, hard_limit, hard_limit);
     }
     let Arguments { command } = argh::from_env();
-    let done = match command {
+    let result = match command {
         Command::Play(call) => run_play(&call),
         Command::Campaign(call) => run_campaign(&call),
         Command::Check(call) => run_check(&call),
@@ -318,11 +322,11 @@
             Ok(true)
         }
     };
-    match done {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
-        Err(fault) => {
-            eprintln!("doorproxy-processes: {fault}");
+        Err(error) => {
+            eprintln!("doorproxy-processes: {error}");
             ExitCode::from(2)
         }
     }
