--- a/crates/process-tests/src/cluster/balancer_config.rs
+++ b/crates/process-tests/src/cluster/balancer_config.rs
@@ -109,7 +109,7 @@
             let disconnected = fleet.fallback_rate.map_or("strict = true".to_string(), fallback);
             format!(
                 "[limits]\nlength = \"{}ms\"\nlease = \"{}ms\"\n\
-             tenants = {{ acme = {{ rate = {rate:?}, {disconnected} }} }}\n",
+                 tenants = {{ acme = {{ rate = {rate:?}, {disconnected} }} }}\n",
                 fleet.contact_timeout_s * 1e3,
                 fleet.lease_s * 1e3
             )
--- a/crates/process-tests/src/fault_proxy.rs
+++ b/crates/process-tests/src/fault_proxy.rs
@@ -1,6 +1,8 @@
-//! The fault-injecting proxy: a relay on each network path between two nodes, for connections and for datagrams.
+//! The fault-injecting proxy: a relay on each network path between two nodes, for connections and for
+//! datagrams.
 //!
-//! The bytes of a connection are never reordered, repeated or changed, as TCP guarantees whatever happens below it.
+//! The bytes of a connection are never reordered, repeated or changed, because TCP guarantees that on any
+//! network.
 
 mod datagrams;
 mod impairment;
@@ -23,14 +25,14 @@
 
 /// The relays of a run.
 pub struct FaultProxy {
-    /// Where nodes listen and where their relays do.
+    /// The addresses of the nodes and of their relays.
     pub addresses: AddressBlock,
     clock: Clock,
-    /// By the names of both nodes.
+    /// The paths, by the names of the sending and the receiving node.
     paths: Mutex<BTreeMap<(String, String), Arc<NetworkPath>>>,
-    /// Nodes whose process does not listen: nobody can connect to them.
+    /// For each node, true while its process does not listen; its relays refuse connections then.
     down_nodes: Mutex<BTreeMap<String, watch::Sender<bool>>>,
-    /// By the address that the relay connects from.
+    /// The nodes that connections come from, by the address from which the relay connects.
     origins: Mutex<BTreeMap<SocketAddr, ConnectionOrigin>>,
     rng: Mutex<Pcg64Mcg>,
 }
@@ -46,7 +48,7 @@
 }
 
 impl FaultProxy {
-    /// A proxy without relays; the seed decides which packets suffer.
+    /// Returns a proxy without relays; the seed determines which packets are impaired.
     pub fn new(addresses: AddressBlock, clock: Clock, seed: u64) -> Arc<FaultProxy> {
         Arc::new(FaultProxy {
             addresses,
@@ -64,7 +66,8 @@
         path.or_insert_with(|| Arc::new(NetworkPath::new())).clone()
     }
 
-    /// Impairs a path by the fault of that number from now on, or ends that fault. Several faults add up.
+    /// Begins the fault of this number on a path, or ends it if there is no impairment. Several faults add
+    /// up.
     pub fn set_fault(&self, from: &str, to: &str, fault: u64, impairment: Option<Impairment>) {
         self.path(from, to).set_fault(fault, impairment);
     }
@@ -74,15 +77,17 @@
         down_nodes.entry(node.to_string()).or_insert_with(|| watch::Sender::new(false)).subscribe()
     }
 
-    /// Whether nobody listens at a node. A relay that accepted a connection for a process that is gone would prove to
-    /// the caller that nothing ran when the truth is unknown, or the other way round.
+    /// Sets whether the process of a node does not listen, so that the node's relays refuse connections. A
+    /// refused connection proves to the caller that its request did not run; an accepted one that is reset
+    /// leaves that open. A relay that accepts connections for a process that is gone would show the caller
+    /// the wrong one of the two.
     pub fn set_down(&self, node: &str, is_down: bool) {
         let mut down_nodes = lock(&self.down_nodes);
         let sender = down_nodes.entry(node.to_string()).or_insert_with(|| watch::Sender::new(false));
         sender.send_replace(is_down);
     }
 
-    /// A draw from 0 up to, but not including, 1.
+    /// Returns a random number from 0 up to, but not including, 1.
     fn random_unit(&self) -> f64 {
         lock(&self.rng).random()
     }
--- a/crates/process-tests/src/fault_proxy/datagrams.rs
+++ b/crates/process-tests/src/fault_proxy/datagrams.rs
@@ -1,4 +1,4 @@
-//! Relays of the datagrams that balancers exchange.
+//! The relays of the datagrams that balancers exchange.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -14,16 +14,16 @@
 use super::impairment::NetworkPath;
 use super::{FaultProxy, Impairment};
 
-/// Datagrams that are held on one path; more are dropped.
+/// The number of datagrams that one path holds; further ones are dropped.
 const MAX_QUEUED_DATAGRAMS: usize = 4096;
 const MAX_DATAGRAM_BYTES: usize = 64 << 10;
-/// A reordered datagram is so much later at the most.
+/// The largest delay of a reordered datagram.
 const MAX_REORDER_DELAY_MS: f64 = 50.0;
 
-/// By node.
+/// The relay socket of each node, by its name.
 type RelaySockets = BTreeMap<String, Arc<UdpSocket>>;
 
-/// The way into the queue of one path.
+/// The sending end of the queue of one path.
 struct PathQueue {
     sender: mpsc::UnboundedSender<Vec<u8>>,
     length: Arc<AtomicUsize>,
@@ -38,25 +38,26 @@
     }
 }
 
-/// The other end of that queue, and where its datagrams go.
+/// The receiving end of the queue of one path, with the socket and address to which it forwards.
 struct PathForwarder {
     receiver: mpsc::UnboundedReceiver<Vec<u8>>,
     length: Arc<AtomicUsize>,
     socket: Arc<UdpSocket>,
     path: Arc<NetworkPath>,
     destination: SocketAddr,
-    /// By when each is due and its number.
+    /// The datagrams to forward, by the time at which each is due and its number.
     delayed: BTreeMap<(Micros, u64), Vec<u8>>,
     last_number: u64,
 }
 
 impl FaultProxy {
-    /// Relays datagrams to these nodes until dropped. Each has one relay socket, which tells senders apart by their
-    /// addresses; what it relays comes from the sender's relay, so that the receiver can answer.
+    /// Relays datagrams among these nodes until the returned tasks are dropped. Each node has one relay
+    /// socket, which tells senders apart by their addresses. A datagram is forwarded from the relay socket of
+    /// its sender, so that the receiver can answer it.
     ///
     /// # Errors
     ///
-    /// Fails where a relay cannot be bound.
+    /// Fails if a relay socket cannot be bound.
     pub async fn relay_datagrams(self: Arc<Self>, nodes: Vec<String>) -> io::Result<JoinSet<()>> {
         let mut sockets = RelaySockets::new();
         for node in &nodes {
@@ -70,7 +71,8 @@
         Ok(tasks)
     }
 
-    /// Sorts the datagrams for one node into the queues of their paths. Those of no node of the run are dropped.
+    /// Sorts the datagrams to one node into the queues of their paths. Datagrams of unknown senders are
+    /// dropped.
     async fn receive_datagrams(self: Arc<Self>, to: String, sockets: RelaySockets) {
         let names: BTreeMap<SocketAddr, &String> =
             sockets.keys().map(|node| (self.addresses.peer_socket(node), node)).collect();
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Loses a datagram, or changes it and decides when it arrives.
+    /// Drops a datagram, or changes it, duplicates it and schedules its delivery.
     fn impair_datagram(&self, forwarder: &mut PathForwarder, impairment: &Impairment, mut datagram: Vec<u8>) {
         if impairment.is_partitioned
             || self.random_unit() < impairment.loss_ratio
--- a/crates/process-tests/src/fault_proxy/impairment.rs
+++ b/crates/process-tests/src/fault_proxy/impairment.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a network path.
+//! The impairments of a network path.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -8,35 +8,35 @@
 
 use super::lock;
 
-/// What is wrong with one direction between two nodes. Ratios are shares from 0 to 1.
+/// The impairments of one direction between two nodes. Ratios are from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Impairment {
-    /// Nothing passes, without notice: connections are not established, datagrams are lost.
+    /// Nothing passes, and no error tells the sender: connections are not established, datagrams are lost.
     pub is_partitioned: bool,
-    /// New connections are refused; established ones are left alone.
+    /// New connections are refused; established ones stay.
     pub refuses_connections: bool,
-    /// Nothing passes until this is over, then all at once.
+    /// Nothing passes until the pause is over; then all held bytes and datagrams do.
     pub is_paused: bool,
-    /// Added latency.
+    /// The added latency.
     pub delay: Micros,
-    /// The bandwidth of a connection, in bytes a second.
+    /// The bandwidth of each connection, in bytes per second.
     pub bytes_per_second: Option<f64>,
-    /// Packets that are lost; those of a connection are retransmitted.
+    /// The ratio of packets that are lost; those of a connection are retransmitted.
     pub loss_ratio: f64,
-    /// Chunks in whose middle the connection is reset.
+    /// The ratio of chunks in the middle of which the connection is reset.
     pub reset_ratio: f64,
-    /// Chunks in whose middle the connection ends, and datagrams that are cut in half.
+    /// The ratio of chunks in the middle of which the connection ends, and of datagrams that are cut in half.
     pub truncate_ratio: f64,
-    /// Datagrams that arrive twice.
+    /// The ratio of datagrams that arrive twice.
     pub duplicate_ratio: f64,
-    /// Datagrams that arrive late.
+    /// The ratio of datagrams that arrive late, after datagrams that were sent later.
     pub reorder_ratio: f64,
-    /// Datagrams with one bit flipped.
+    /// The ratio of datagrams that arrive with one bit flipped.
     pub corrupt_ratio: f64,
 }
 
 impl Impairment {
-    /// A path that works.
+    /// The state of a path without faults.
     pub const NONE: Impairment = Impairment {
         is_partitioned: false,
         refuses_connections: false,
@@ -55,7 +55,7 @@
         self.is_partitioned || self.is_paused
     }
 
-    /// Both at once: delays add up, of everything else the worse holds.
+    /// Combines two impairments: delays add up, and the worse of every other value applies.
     fn combine(self, other: &Impairment) -> Impairment {
         let limits = self.bytes_per_second.into_iter().chain(other.bytes_per_second);
         Impairment {
@@ -74,7 +74,7 @@
     }
 }
 
-/// One direction between two nodes, and the faults that it has.
+/// One direction between two nodes, with its current faults by their numbers.
 pub(super) struct NetworkPath {
     faults: Mutex<BTreeMap<u64, Impairment>>,
     current: watch::Sender<Impairment>,
@@ -85,7 +85,7 @@
         NetworkPath { faults: Mutex::default(), current: watch::Sender::new(Impairment::NONE) }
     }
 
-    /// What all its faults add up to, as it changes.
+    /// Returns a receiver of the combined impairment of all faults, which follows their changes.
     pub fn subscribe(&self) -> watch::Receiver<Impairment> {
         self.current.subscribe()
     }
--- a/crates/process-tests/src/fault_proxy/listeners.rs
+++ b/crates/process-tests/src/fault_proxy/listeners.rs
@@ -1,4 +1,4 @@
-//! The relays' listeners, and what they do while a path is cut or refuses connections.
+//! The listeners of the relays, which also act for paths that are partitioned or refuse connections.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -15,12 +15,13 @@
 use super::{FaultProxy, Impairment};
 
 const BACKLOG: i32 = 1024;
-/// A port can be held for a moment by what its last listener left behind.
+/// The interval of attempts to listen. Connections of the previous listener can keep the port in use for a
+/// moment.
 const LISTEN_RETRY_INTERVAL: Micros = 10 * MS;
-/// After so long without a connection the backlog is empty.
+/// The time without a connection after which the backlog counts as empty.
 const BACKLOG_IDLE: Duration = Duration::from_millis(20);
 
-/// What a relay's listener watches.
+/// The states that the listener of a relay follows.
 struct ListenerWatch {
     impairment: watch::Receiver<Impairment>,
     is_down: watch::Receiver<bool>,
@@ -45,7 +46,7 @@
 }
 
 impl FaultProxy {
-    /// Relays connections from one node to another until dropped.
+    /// Relays connections from one node to another until the future is dropped.
     pub async fn proxy_connections(self: Arc<Self>, from: String, to: String) {
         let impairment = self.path(&from, &to).subscribe();
         let mut watch = ListenerWatch { impairment, is_down: self.watch_down(&to) };
@@ -81,9 +82,9 @@
         }
     }
 
-    /// Relays connections among balancers to one of them until dropped. All callers share one listener and are told
-    /// apart by the address that they call from, so a path that refuses accepts a connection and resets it, and one that
-    /// is cut accepts it and is silent.
+    /// Relays connections from other balancers to one balancer until the future is dropped. All callers share
+    /// one listener, which tells them apart by their addresses only after it has accepted. So a path that
+    /// refuses connections accepts and resets them, and a partitioned one accepts them and passes nothing.
     pub async fn proxy_peer_connections(self: Arc<Self>, to: String, nodes: Vec<String>) {
         let names: BTreeMap<IpAddr, String> =
             nodes.into_iter().map(|node| (self.addresses.peer_socket(&node).ip(), node)).collect();
@@ -104,7 +105,7 @@
                     _ = is_down.changed() => {}
                     accepted = listener.accept() => {
                         let Ok((near, source)) = accepted else { continue };
-                        // A caller that is no node of the run has no path.
+                        // A caller that is not a node of the run has no path.
                         let caller = names.get(&source.ip());
                         match caller.filter(|from| !self.path(from, &to).refuses_connections()) {
                             Some(from) => {
@@ -120,12 +121,13 @@
     }
 }
 
-/// Keeps a listener from answering while its path is cut. A listener whose backlog is full does not answer, so what
-/// connects waits, as on a cut path.
+/// Keeps a listener from completing handshakes while its path is partitioned: the kernel ignores them while
+/// the backlog is full, so callers wait as they would on a partitioned network.
 async fn block_accepts(listener: &TcpListener, address: SocketAddr, watch: &mut ListenerWatch) {
     let socket = SockRef::from(listener);
     let _ = socket.listen(0);
-    // Where the backlog is full already, the connection that is to fill it is established only after the cut.
+    // This connection fills the backlog. If other callers have filled it, it is established only after the
+    // partition.
     let mut filler = None;
     let connecting = TcpStream::connect(address);
     tokio::pin!(connecting);
@@ -143,7 +145,8 @@
     }
     let _ = socket.listen(BACKLOG);
     let filler_address = filler.as_ref().and_then(|filler| filler.local_addr().ok());
-    // What waited before the cut is before the filler in the backlog; it is reset, as after a long silence.
+    // Connections that waited before the partition precede the filler in the backlog. They are closed, like
+    // connections that time out.
     while let Ok(Ok((_, peer))) = tokio::time::timeout(BACKLOG_IDLE, listener.accept()).await {
         if Some(peer) == filler_address {
             break;
--- a/crates/process-tests/src/fault_proxy/stream.rs
+++ b/crates/process-tests/src/fault_proxy/stream.rs
@@ -1,4 +1,4 @@
-//! One relayed connection: its bytes pass in order, as their path lets them.
+//! The relay of one connection, which passes its bytes in order and with the impairments of their path.
 
 use std::collections::VecDeque;
 use std::io;
@@ -14,35 +14,37 @@
 use super::listeners::reset_on_close;
 use super::{FaultProxy, Impairment, lock};
 
-/// Bytes that are held for one direction; then the sender's buffers fill, as on a real path.
+/// The number of bytes held for one direction; beyond it the relay stops reading, and the sender's buffers
+/// fill as on a real network.
 const MAX_BUFFERED_BYTES: usize = 256 << 10;
 const READ_BUFFER_BYTES: usize = 16 << 10;
-/// What a lost packet costs a connection: the shortest time after which it is sent again.
+/// The delay that a lost packet adds to a connection: the minimum retransmission timeout of TCP.
 const RETRANSMIT_DELAY: Micros = 200 * MS;
-/// Arrival times that are kept where nobody asks for them.
+/// The number of arrival times that are kept if nothing reads them.
 const MAX_ARRIVAL_MARKS: usize = 4096;
-/// A limited path passes what it can in one of so many parts of a second.
+/// The number of writes per second of a path with limited bandwidth.
 const WRITES_PER_SECOND: f64 = 50.0;
 
-/// How one direction ended.
+/// The end of one direction of a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum StreamEnd {
-    /// All bytes were passed on, and then the end.
+    /// The sender closed its side, after all its bytes.
     Finished,
+    /// The connection was reset.
     Reset,
 }
 
-/// What one direction holds.
+/// The bytes that one direction holds.
 #[derive(Default)]
 struct RelayBuffer {
-    /// Chunks and when each is due.
+    /// The chunks, with the time at which each is due.
     chunks: VecDeque<(Micros, Vec<u8>)>,
     length: usize,
-    /// Bytes that have arrived in all.
+    /// The number of bytes that have arrived since the connection began.
     arrived: u64,
-    /// When the last chunk is due: no later one may be due before it.
+    /// The time at which the last chunk is due; no later chunk may be due before it.
     last_due: Micros,
-    /// How the sender's side ended, once it has.
+    /// The end of the sender's side, once it has ended.
     end: Option<StreamEnd>,
 }
 
@@ -66,7 +68,8 @@
 }
 
 impl FaultProxy {
-    /// Connects to a node in another's name and relays both directions until both have ended, or one is reset.
+    /// Connects to a node on behalf of another and relays both directions until both have ended, or one is
+    /// reset.
     pub(super) async fn relay_connection(self: Arc<Self>, near: TcpStream, from: String, to: String) {
         let _ = near.set_nodelay(true);
         let Ok((far, origin)) = self.dial(&from, &to).await else {
@@ -98,7 +101,8 @@
         }
     }
 
-    /// Connects from an address that is known before, so that whoever accepts finds out who calls.
+    /// Connects from an address that is registered before the connection is established, so that the node
+    /// that accepts it can look up the caller.
     async fn dial(&self, from: &str, to: &str) -> io::Result<(TcpStream, ConnectionOrigin)> {
         let socket = TcpSocket::new_v4()?;
         socket.bind(self.addresses.source(from))?;
@@ -112,7 +116,8 @@
         connected.map(|far| (far, origin))
     }
 
-    /// Passes on what arrives, in order, as the path lets it.
+    /// Forwards the bytes of one direction in order, with the impairments of the path, and returns how it
+    /// ended.
     async fn relay_bytes(
         &self,
         from: &TcpStream,
@@ -157,7 +162,7 @@
         }
     }
 
-    /// Takes what a read has brought.
+    /// Handles the result of a read: holds its bytes until they are due, or notes the end.
     fn receive(
         &self,
         buffer: &mut RelayBuffer,
@@ -182,7 +187,7 @@
         }
     }
 
-    /// Writes a chunk, or its first half and then the end that is returned.
+    /// Writes a chunk; if the path breaks the connection, writes only the first half and returns the end.
     async fn write_chunk(
         &self,
         to: &TcpStream,
@@ -200,13 +205,14 @@
         let length = if end.is_some() { chunk.len() / 2 } else { chunk.len() };
         write_limited(to, &chunk[..length], impairment.bytes_per_second).await?;
         if end == Some(StreamEnd::Finished) {
-            // The reader sees an end within a message; what it still sends goes nowhere.
+            // The receiver sees the connection end within a message; later bytes of the sender are dropped.
             SockRef::from(to).shutdown(Shutdown::Write)?;
         }
         Ok(end)
     }
 }
 
+/// Writes all bytes, with limited bandwidth if there is a limit.
 async fn write_limited(to: &TcpStream, bytes: &[u8], bytes_per_second: Option<f64>) -> io::Result<()> {
     let mut rest = bytes;
     while !rest.is_empty() {
@@ -228,7 +234,7 @@
     Ok(())
 }
 
-/// Notes when the bytes up to this position arrived.
+/// Records the time at which the bytes up to this position arrived.
 fn mark_arrival(origin: &ConnectionOrigin, position: u64, now: Micros) {
     let mut marks = lock(&origin.entered);
     marks.push_back((position, now));
--- a/crates/process-tests/src/fault_proxy/tests.rs
+++ b/crates/process-tests/src/fault_proxy/tests.rs
@@ -1,4 +1,4 @@
-//! The relays on loopback, under each kind of impairment.
+//! Tests of the relays on loopback, under each kind of impairment.
 
 use std::io;
 use std::time::Duration;
@@ -17,7 +17,7 @@
     let listener = TcpListener::bind(proxy.addresses.service("u0")).await.unwrap();
     let mut tasks = JoinSet::new();
     tasks.spawn(proxy.clone().proxy_connections("n0".into(), "u0".into()));
-    // The relay listens once it accepts a connection.
+    // The relay is ready once it accepts a connection.
     while TcpStream::connect(proxy.addresses.proxy("n0", "u0")).await.is_err() {
         clock::sleep(MS).await;
     }
@@ -29,9 +29,10 @@
     TcpStream::connect(proxy.addresses.proxy("n0", "u0")).await
 }
 
-/// TCP neither reorders nor changes bytes, whatever is wrong with the path below it.
+/// Guards against a relay that reorders or changes bytes of a connection, which TCP never does on any
+/// network.
 #[tokio::test]
-async fn bytes_of_a_connection_keep_their_order() {
+async fn connection_keeps_its_bytes_under_impairments() {
     let (proxy, _tasks, listener) = start_proxy().await;
     let mut near = call(&proxy).await.unwrap();
     let (mut far, _) = listener.accept().await.unwrap();
@@ -60,20 +61,23 @@
     });
     let mut received = Vec::new();
     tokio::time::timeout(TIMEOUT, far.read_to_end(&mut received)).await.unwrap().unwrap();
-    assert!(received == sent, "{} of {} bytes, or other ones", received.len(), sent.len());
+    assert!(received == sent, "received {} bytes, sent {}, or they differ", received.len(), sent.len());
     drop(writer.await);
 }
 
 #[tokio::test]
-async fn a_path_is_cut_refused_and_healed() {
+async fn path_is_partitioned_then_refuses_connections_then_resets() {
     let (proxy, _tasks, listener) = start_proxy().await;
     let mut near = call(&proxy).await.unwrap();
     let (mut far, _) = listener.accept().await.unwrap();
     proxy.set_fault("n0", "u0", 1, Some(Impairment { is_partitioned: true, ..Impairment::NONE }));
     near.write_all(b"over the cut").await.unwrap();
     let nothing = tokio::time::timeout(Duration::from_millis(100), far.read(&mut [0; 64])).await;
-    assert!(nothing.is_err(), "a byte passed a cut path");
-    assert!(tokio::time::timeout(Duration::from_millis(300), call(&proxy)).await.is_err(), "it came up");
+    assert!(nothing.is_err(), "a byte passed a partitioned path");
+    assert!(
+        tokio::time::timeout(Duration::from_millis(300), call(&proxy)).await.is_err(),
+        "a connection was established on a partitioned path"
+    );
     // The other direction works.
     far.write_all(b"back").await.unwrap();
     let mut backward_bytes = [0; 4];
@@ -84,7 +88,7 @@
     assert_eq!((&forward_bytes, &backward_bytes), (b"over the cut", b"back"));
     tokio::time::timeout(TIMEOUT, call(&proxy)).await.unwrap().unwrap();
     proxy.set_fault("n0", "u0", 2, Some(Impairment { refuses_connections: true, ..Impairment::NONE }));
-    // What waited in the backlog as the listener closed is reset; what comes later is refused.
+    // Connections in the backlog of the closed listener are reset; later ones are refused.
     let is_refused = |error: io::Error| error.kind() == io::ErrorKind::ConnectionRefused;
     while !call(&proxy).await.is_err_and(is_refused) {
         clock::sleep(MS).await;
@@ -95,9 +99,10 @@
     assert_eq!(read.map_err(|error| error.kind()), Err(io::ErrorKind::ConnectionReset));
 }
 
-/// Callers may fill the backlog before the relay does so itself; it has to accept again after that.
+/// Guards against a relay that accepts no connections after a partition because callers filled its backlog
+/// before it did so itself.
 #[tokio::test]
-async fn a_path_that_was_cut_under_many_callers_is_healed() {
+async fn relay_accepts_after_partitions_with_many_callers() {
     let (proxy, _tasks, listener) = start_proxy().await;
     let accepted = tokio::spawn(async move {
         let mut accepted = Vec::new();
@@ -105,13 +110,13 @@
             accepted.push(one);
         }
     });
-    let crowd = |proxy: Arc<FaultProxy>| async move {
+    let call_repeatedly = |proxy: Arc<FaultProxy>| async move {
         loop {
             let _ = tokio::time::timeout(Duration::from_millis(20), call(&proxy)).await;
         }
     };
     let mut callers = JoinSet::new();
-    (0..50).for_each(|_| drop(callers.spawn(crowd(proxy.clone()))));
+    (0..50).for_each(|_| drop(callers.spawn(call_repeatedly(proxy.clone()))));
     for _ in 0..5 {
         clock::sleep(10 * MS).await;
         proxy.set_fault("n0", "u0", 1, Some(Impairment { is_partitioned: true, ..Impairment::NONE }));
@@ -121,14 +126,14 @@
     callers.shutdown().await;
     clock::sleep(50 * MS).await;
     let mut near = tokio::time::timeout(TIMEOUT, call(&proxy)).await.unwrap().unwrap();
-    // A connection that is accepted and reset in the clean-up of a cut sees an end.
+    // A connection that the relay closes while it empties the backlog after a partition would end.
     let end = tokio::time::timeout(Duration::from_millis(200), near.read(&mut [0; 8])).await;
-    assert!(end.is_err(), "the relay accepts nobody: {end:?}");
+    assert!(end.is_err(), "the relay does not accept connections: {end:?}");
     accepted.abort();
 }
 
 #[tokio::test]
-async fn balancers_reach_each_other_over_one_socket_a_node() {
+async fn peer_connections_share_one_listener_for_each_node() {
     let proxy = FaultProxy::new(AddressBlock::claim().unwrap(), Clock::start(), 7);
     let nodes = ["n0", "n1", "n2"].map(String::from).to_vec();
     let listener = TcpListener::bind(proxy.addresses.peer_socket("n2")).await.unwrap();
@@ -142,7 +147,7 @@
     while call("u0").await.is_err() {
         clock::sleep(MS).await;
     }
-    // One is refused and one is relayed, and the callee knows the caller.
+    // The connection of n0 is refused and that of n1 is relayed; its origin is known.
     proxy.set_fault("n0", "n2", 1, Some(Impairment { refuses_connections: true, ..Impairment::NONE }));
     let end = match call("n0").await {
         Ok(mut refused) => tokio::time::timeout(TIMEOUT, refused.read(&mut [0; 8])).await.unwrap(),
@@ -152,7 +157,7 @@
     let mut near = call("n1").await.unwrap();
     let (mut far, source) = listener.accept().await.unwrap();
     assert_eq!(proxy.origin_of(source).unwrap().from, "n1");
-    // A cut path is silent, in one direction only, until it is healed.
+    // A partitioned path passes nothing in its direction until the partition ends; the other direction works.
     proxy.set_fault("n1", "n2", 2, Some(Impairment { is_partitioned: true, ..Impairment::NONE }));
     near.write_all(b"late").await.unwrap();
     far.write_all(b"back").await.unwrap();
@@ -160,14 +165,14 @@
     tokio::time::timeout(TIMEOUT, near.read_exact(&mut bytes)).await.unwrap().unwrap();
     assert_eq!(&bytes, b"back");
     let early = tokio::time::timeout(Duration::from_millis(100), far.read_exact(&mut bytes)).await;
-    assert!(early.is_err(), "a byte passed a cut path");
+    assert!(early.is_err(), "a byte passed a partitioned path");
     proxy.set_fault("n1", "n2", 2, None);
     tokio::time::timeout(TIMEOUT, far.read_exact(&mut bytes)).await.unwrap().unwrap();
     assert_eq!(&bytes, b"late");
 }
 
 #[tokio::test]
-async fn datagrams_are_lost_duplicated_corrupted_and_held_by_their_path() {
+async fn datagrams_are_lost_duplicated_corrupted_and_held() {
     let proxy = FaultProxy::new(AddressBlock::claim().unwrap(), Clock::start(), 7);
     let nodes = ["n0", "n1"].map(String::from).to_vec();
     let _tasks = proxy.clone().relay_datagrams(nodes).await.unwrap();
@@ -185,7 +190,7 @@
     for (index, impairment) in cases.into_iter().enumerate() {
         proxy.set_fault("n0", "n1", 1, Some(impairment));
         one.send_to(format!("datagram {index}").as_bytes(), to).await.unwrap();
-        // A second datagram, on a working path, follows it.
+        // A second datagram on a path without faults marks the end of the case.
         clock::sleep(20 * MS).await;
         proxy.set_fault("n0", "n1", 1, None);
         one.send_to(b"end", to).await.unwrap();
@@ -205,7 +210,7 @@
     one.send_to(b"old news", to).await.unwrap();
     let mut bytes = [0; 64];
     let early = tokio::time::timeout(Duration::from_millis(100), other.recv_from(&mut bytes)).await;
-    assert!(early.is_err(), "it passed a paused path");
+    assert!(early.is_err(), "a datagram passed a paused path");
     proxy.set_fault("n0", "n1", 1, None);
     let (read, _) = tokio::time::timeout(TIMEOUT, other.recv_from(&mut bytes)).await.unwrap().unwrap();
     assert_eq!(&bytes[..read], b"old news");
--- a/crates/process-tests/src/fault_report_measurement.rs
+++ b/crates/process-tests/src/fault_report_measurement.rs
@@ -1,5 +1,5 @@
-//! What it brings, and costs, that balancers tell each other which endpoints they found ill: plays with the same load and the same
-//! trouble, with claims and without. It must never count a run in which the test cluster itself was late.
+//! Measures the benefit and the cost of fault reports: runs the same load and the same fault with fault
+//! reports and without. A run in which the test cluster itself was delayed is void and not counted.
 
 use std::collections::BTreeSet;
 
@@ -15,21 +15,26 @@
 const FAULT_DURATION_S: f64 = 20.0;
 const FAULTY_UPSTREAM: &str = "u1";
 
-/// What is wrong.
+/// The fault of a case.
 #[derive(Clone, Copy, PartialEq)]
 enum InjectedFault {
-    /// An endpoint, for all.
+    /// An endpoint fails for all balancers.
     Upstream(FaultKind),
-    /// The ways from one balancer to all endpoints: it accuses all of them.
+    /// The paths between one balancer and all endpoints fail, so that it reports faults of healthy endpoints.
     OwnPaths,
 }
 
+/// A measured case, which is one row of the table.
 pub struct Case {
+    /// The name of the case.
     pub name: &'static str,
+    /// The fault of the case.
     fault: InjectedFault,
+    /// True if balancers exchange fault reports.
     fault_reports_enabled: bool,
 }
 
+/// All cases, in the order of the table.
 pub const CASES: &[Case] = &[
     Case {
         name: "an upstream fails, each alone",
@@ -74,7 +79,8 @@
 ];
 
 impl Case {
-    /// Few requests, so that each balancer meets each endpoint about every other second.
+    /// Returns the scenario of the case with this seed. Its load is low: each balancer uses each endpoint
+    /// about once every two seconds.
     pub fn scenario(&self, seed: u64) -> Scenario {
         let fleet = Fleet {
             balancers: 12,
@@ -90,17 +96,17 @@
             abandon_ratio: 0.0,
             ..Load::default()
         };
-        let (what, who, way, size) = match self.fault {
-            InjectedFault::Upstream(what) => (what, FAULTY_UPSTREAM, "", 0.0),
+        let (kind, targets, paths, magnitude) = match self.fault {
+            InjectedFault::Upstream(kind) => (kind, FAULTY_UPSTREAM, "", 0.0),
             InjectedFault::OwnPaths => (FaultKind::Reset, "", "n11<->u*", 0.5),
         };
         let fault = Fault {
             at: FAULT_AT_S,
-            kind: what,
-            targets: who.to_string(),
-            paths: way.to_string(),
+            kind,
+            targets: targets.to_string(),
+            paths: paths.to_string(),
             duration_s: FAULT_DURATION_S,
-            magnitude: size,
+            magnitude,
             restart_spread_s: 0.0,
             configured_list: ConfiguredList::Last,
             state_directory: StateDirectoryCondition::Kept,
@@ -109,102 +115,115 @@
     }
 }
 
-/// What one play shows, from the trouble's begin to the end of the load.
+/// The measured values of one run, from the beginning of the fault to the end of the load.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunMeasurement {
+    /// The seed of the scenario.
     pub seed: u64,
-    /// Connections and attempts at the ill endpoint while it was.
-    pub at_ill: usize,
-    /// Of all requests that were asked, how many were served.
+    /// The number of attempts that the faulty endpoint received during the fault.
+    #[serde(rename = "at_ill")]
+    pub attempts_at_faulty: usize,
+    /// The ratio of served requests to all requests.
     pub served: f64,
-    pub refused: usize,
+    /// The number of responses 503.
+    #[serde(rename = "refused")]
+    pub rejected: usize,
+    /// The number of responses with any other status but 200.
     pub failed: usize,
+    /// The number of violations of rules.
     pub violations: usize,
 }
 
-fn measure_run(seed: u64, played: &RunReport) -> RunMeasurement {
-    let fault = played.load_period.0 + (FAULT_AT_S * SECOND as f64) as Micros;
-    let over = fault + (FAULT_DURATION_S * SECOND as f64) as Micros;
-    let mut asked = BTreeSet::new();
-    let mut reading = RunMeasurement {
+fn measure_run(seed: u64, report: &RunReport) -> RunMeasurement {
+    let fault = report.load_period.0 + (FAULT_AT_S * SECOND as f64) as Micros;
+    let fault_end = fault + (FAULT_DURATION_S * SECOND as f64) as Micros;
+    let mut started = BTreeSet::new();
+    let mut measurement = RunMeasurement {
         seed,
-        at_ill: 0,
+        attempts_at_faulty: 0,
         served: 0.0,
-        refused: 0,
+        rejected: 0,
         failed: 0,
-        violations: played.violations.len(),
+        violations: report.violations.len(),
     };
     let mut served = 0;
-    for line in played.history.lines.iter().filter(|line| line.at >= fault && line.at < played.load_period.1)
+    for line in report.history.lines.iter().filter(|line| line.at >= fault && line.at < report.load_period.1)
     {
         match &line.event {
-            Event::RequestStarted { op, .. } => drop(asked.insert(*op)),
-            Event::AttemptReceived { server, .. } if server == FAULTY_UPSTREAM && line.at < over => {
-                reading.at_ill += 1
+            Event::RequestStarted { op, .. } => drop(started.insert(*op)),
+            Event::AttemptReceived { server, .. } if server == FAULTY_UPSTREAM && line.at < fault_end => {
+                measurement.attempts_at_faulty += 1
             }
-            Event::ResponseReceived { op, status, .. } if asked.contains(op) => match status {
+            Event::ResponseReceived { op, status, .. } if started.contains(op) => match status {
                 200 => served += 1,
-                503 => reading.refused += 1,
-                _ => reading.failed += 1,
+                503 => measurement.rejected += 1,
+                _ => measurement.failed += 1,
             },
             _ => {}
         }
     }
-    reading.served = f64::from(served) / asked.len().max(1) as f64;
-    reading
+    measurement.served = f64::from(served) / started.len().max(1) as f64;
+    measurement
 }
 
+/// The measured runs of one case.
 #[derive(Debug, Serialize)]
 pub struct CaseResult {
+    /// The name of the case.
     pub case: &'static str,
-    pub readings: Vec<RunMeasurement>,
+    /// The measured values of each valid run.
+    #[serde(rename = "readings")]
+    pub measurements: Vec<RunMeasurement>,
+    /// The number of seeds that are void because the test cluster was delayed in each of three runs.
     pub void: usize,
 }
 
-/// Plays all cases with each seed, so many side by side.
+/// Runs all cases with each seed, `jobs` runs at a time. `options` returns the run options for a directory.
 ///
 /// # Errors
-/// The first play that could not be set up or kept up.
+///
+/// Fails if a run fails; the error is that of the first such run by seed and case.
 pub fn measure_cases(
     seeds: std::ops::Range<u64>,
     jobs: usize,
     options: impl Fn(&std::path::Path) -> RunOptions + Sync,
 ) -> Result<Vec<CaseResult>, String> {
-    let played = run_cases(
+    let measured = run_cases(
         CASES.len(),
         seeds,
         jobs,
         options,
         |case, seed| CASES[case].scenario(seed),
-        |_, seed, played| measure_run(seed, played),
+        |_, seed, report| measure_run(seed, report),
     )?;
-    let row = |(case, (readings, void)): (&Case, (Vec<RunMeasurement>, usize))| CaseResult {
+    let row = |(case, (measurements, void)): (&Case, (Vec<RunMeasurement>, usize))| CaseResult {
         case: case.name,
-        readings,
+        measurements,
         void,
     };
-    Ok(CASES.iter().zip(played).map(row).collect())
+    Ok(CASES.iter().zip(measured).map(row).collect())
 }
 
-/// The table for people, as Markdown.
+/// Returns the results as a Markdown table.
 pub fn markdown_table(rows: &[CaseResult]) -> String {
-    let mut text = "| trouble | plays | pushes at the ill one | served | refused | failed | violations |\n\
+    let mut text =
+        "| case | runs | attempts at the faulty endpoint | served | rejected | failed | violations |\n\
                     | --- | --- | --- | --- | --- | --- | --- |\n"
-        .to_string();
+            .to_string();
     for row in rows {
         let of = |of: &dyn Fn(&RunMeasurement) -> f64, digits| {
-            format_median(median(&row.readings.iter().map(of).collect::<Vec<f64>>()), digits)
+            format_median(median(&row.measurements.iter().map(of).collect::<Vec<f64>>()), digits)
         };
         text += &format!(
             "| {} | {}{} | {} | {} | {} | {} | {} |\n",
             row.case,
-            row.readings.len(),
+            row.measurements.len(),
             if row.void > 0 { format!(", {} void", row.void) } else { String::new() },
-            of(&|of| of.at_ill as f64, 0),
+            of(&|of| of.attempts_at_faulty as f64, 0),
             of(&|of| of.served, 4),
-            of(&|of| of.refused as f64, 0),
+            of(&|of| of.rejected as f64, 0),
             of(&|of| of.failed as f64, 0),
-            row.readings.iter().map(|of| of.violations).sum::<usize>(),
+            row.measurements.iter().map(|of| of.violations).sum::<usize>(),
         );
     }
     text
--- a/crates/process-tests/src/fault_report_measurement/tests.rs
+++ b/crates/process-tests/src/fault_report_measurement/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of [`super`].
+//! Tests of the scenarios of the cases.
 
 use super::*;
 
--- a/crates/process-tests/src/lib.rs
+++ b/crates/process-tests/src/lib.rs
@@ -2,6 +2,8 @@
 //! read what clients, endpoints and discovery observed; what balancers report about themselves is used only
 //! where a checker says so.
 
+#![warn(missing_docs)]
+
 pub mod addresses;
 mod admin_client;
 pub mod checkers;
--- a/crates/process-tests/src/main.rs
+++ b/crates/process-tests/src/main.rs
@@ -216,7 +216,8 @@
     if let Some(path) = &call.svg {
         plot::write_svg(&rows, path)?;
     }
-    let violations: usize = rows.iter().flat_map(|row| &row.readings).map(|reading| reading.violations).sum();
+    let violations: usize =
+        rows.iter().flat_map(|row| &row.measurements).map(|measurement| measurement.violations).sum();
     if violations > 0 {
         eprintln!("{violations} violations of rules during the measured runs");
     }
@@ -232,7 +233,7 @@
     } else {
         print!("{}", quota_measurement::markdown_table(&rows));
     }
-    Ok(rows.iter().flat_map(|row| &row.readings).all(|reading| reading.violations == 0))
+    Ok(rows.iter().flat_map(|row| &row.measurements).all(|measurement| measurement.violations == 0))
 }
 
 fn measure_fault_reports(call: &Measure) -> Result<bool, String> {
@@ -244,7 +245,7 @@
     } else {
         print!("{}", fault_report_measurement::markdown_table(&rows));
     }
-    Ok(rows.iter().flat_map(|row| &row.readings).all(|reading| reading.violations == 0))
+    Ok(rows.iter().flat_map(|row| &row.measurements).all(|measurement| measurement.violations == 0))
 }
 
 fn run_campaign(call: &Campaign) -> Result<bool, String> {
--- a/crates/process-tests/src/plot.rs
+++ b/crates/process-tests/src/plot.rs
@@ -13,9 +13,11 @@
 
 /// Returns the points of one line: for each step, the median over all runs of a case.
 fn median_series(result: &CaseResult, series: impl Fn(&RunMeasurement) -> &Vec<f64>) -> Vec<(f64, f64)> {
-    let step_count = result.readings.iter().map(|reading| series(reading).len()).min().unwrap_or(0);
+    let step_count =
+        result.measurements.iter().map(|measurement| series(measurement).len()).min().unwrap_or(0);
     let point = |step: usize| {
-        let values: Vec<f64> = result.readings.iter().map(|reading| series(reading)[step]).collect();
+        let values: Vec<f64> =
+            result.measurements.iter().map(|measurement| series(measurement)[step]).collect();
         (step as f64 * STEP_S, median(&values).map_or(0.0, |median| median.median))
     };
     (0..step_count).map(point).collect()
@@ -35,9 +37,9 @@
     root.fill(&WHITE)?;
     let (above, below) = root.split_vertically(SIZE_PX.1 / 2);
     let served: Vec<_> =
-        results.iter().map(|result| median_series(result, |reading| &reading.service)).collect();
+        results.iter().map(|result| median_series(result, |measurement| &measurement.service)).collect();
     let attempts: Vec<_> =
-        results.iter().map(|result| median_series(result, |reading| &reading.load)).collect();
+        results.iter().map(|result| median_series(result, |measurement| &measurement.load)).collect();
     let attempts_per_second: Vec<Vec<_>> = attempts
         .into_iter()
         .map(|line| line.into_iter().map(|(at, count)| (at, count / STEP_S)).collect())
--- a/crates/process-tests/src/quota_measurement.rs
+++ b/crates/process-tests/src/quota_measurement.rs
@@ -1,6 +1,6 @@
-//! How well a fleet uses a limit, and how near it comes to the bound: plays fleets of which more is asked than the limit allows,
-//! with what a seed gives, and reads what got through from outside. It must never count a run in which the test cluster itself was
-//! late.
+//! Measures how much of a limit a fleet uses and how close the admitted requests come to their bound. Clients
+//! send more requests than the limit allows, and admitted requests are counted at the endpoints. A run in
+//! which the test cluster itself was delayed is void and not counted.
 
 use doorproxy_test_servers::clock::{MS, Micros, SECOND};
 use doorproxy_test_servers::events::Event;
@@ -13,25 +13,34 @@
 
 const BALANCER_COUNT: usize = 12;
 const LIMIT_PER_SECOND: f64 = 240.0;
-/// When the fault comes, and for how long the load goes on after it.
+/// The time of the fault, in seconds after the load began.
 const FAULT_AT_S: f64 = 5.0;
+/// The time for which the load goes on after the fault, in seconds.
 const LOAD_AFTER_FAULT_S: f64 = 12.0;
-/// What was used is read over so long before the end.
+/// The time before the end of the load over which the use of the limit is measured.
 const USAGE_WINDOW: Micros = 5 * SECOND;
-/// A limit is in use again from when on each of so many parts lets through so much of what it allows.
+/// The length of a slice. After a fault, the limit is in use again at the first instant that is followed by
+/// [`SLICE_COUNT`] slices, in each of which the fleet admits at least [`RECOVERED_USAGE_RATIO`] of the limit.
 const SLICE: Micros = SECOND / 2;
+/// The number of slices that show that the limit is in use again.
 const SLICE_COUNT: u64 = 4;
+/// The ratio of the limit that each of these slices must admit.
 const RECOVERED_USAGE_RATIO: f64 = 0.85;
+/// The distance between the instants that are examined.
 const SCAN_STEP: Micros = 50 * MS;
 
+/// A measured case, which is one row of the table.
 pub struct Case {
+    /// The name of the case.
     pub name: &'static str,
-    /// The part of all requests that comes to one balancer.
+    /// The ratio of all requests that clients send to the first balancer.
     first_balancer_ratio: f64,
+    /// True if disconnected balancers admit no requests, and false if they admit the fallback rate.
     is_strict: bool,
-    /// Nobody reaches a dealer: each lets in its even part, as by division by count.
+    /// True if balancers are partitioned from each other, so that none reaches a quota allocator and each
+    /// admits an equal share of the limit, as in a fleet that divides the limit by the number of balancers.
     is_divided_evenly: bool,
-    /// What happens, to whom or on which way, and for how long.
+    /// The fault: its kind, the processes or paths that it affects, and its duration in seconds.
     fault: Option<(FaultKind, &'static str, f64)>,
 }
 
@@ -39,6 +48,7 @@
     Case { name: "", first_balancer_ratio: 0.0, is_strict: false, is_divided_evenly: false, fault: None };
 const STRICT: Case = Case { is_strict: true, ..ALLOCATED };
 
+/// All cases, in the order of the table.
 pub const CASES: &[Case] = &[
     Case { name: "even, divided by count", is_divided_evenly: true, ..ALLOCATED },
     Case { name: "even, dealt", ..ALLOCATED },
@@ -73,6 +83,7 @@
 ];
 
 impl Case {
+    /// Returns the scenario of the case with this seed.
     pub fn scenario(&self, seed: u64) -> Scenario {
         let fallback_rate = (!self.is_strict).then_some(LIMIT_PER_SECOND / BALANCER_COUNT as f64);
         let fleet = Fleet {
@@ -93,16 +104,16 @@
             first_balancer_ratio: self.first_balancer_ratio,
             ..Load::default()
         };
-        let divides = self.is_divided_evenly.then_some((0.0, FaultKind::Partition, "n*<->n*", 0.0));
-        let fault = self.fault.map(|(what, whom, lasts)| (FAULT_AT_S, what, whom, lasts));
-        let faults = divides.into_iter().chain(fault).map(|(at, what, whom, lasts)| {
-            let (who, way) = if whom.contains("->") { ("", whom) } else { (whom, "") };
+        let partition = self.is_divided_evenly.then_some((0.0, FaultKind::Partition, "n*<->n*", 0.0));
+        let fault = self.fault.map(|(kind, target, duration_s)| (FAULT_AT_S, kind, target, duration_s));
+        let faults = partition.into_iter().chain(fault).map(|(at, kind, target, duration_s)| {
+            let (targets, paths) = if target.contains("->") { ("", target) } else { (target, "") };
             Fault {
                 at,
-                kind: what,
-                targets: who.to_string(),
-                paths: way.to_string(),
-                duration_s: lasts,
+                kind,
+                targets: targets.to_string(),
+                paths: paths.to_string(),
+                duration_s,
                 magnitude: 0.0,
                 restart_spread_s: 0.0,
                 configured_list: ConfiguredList::Last,
@@ -113,101 +124,122 @@
     }
 }
 
-/// What one play shows.
+/// The measured values of one run.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunMeasurement {
+    /// The seed of the scenario.
     pub seed: u64,
-    /// Of the limit, over the last seconds of the load.
+    /// The ratio of the limit that was used in the last seconds of the load.
     pub used: f64,
-    /// How near what got through came to the bound, as a part of what may be beyond the rate.
-    pub nearest: f64,
-    /// After the fault, until the limit is in use again; none: not within the load.
-    pub again_s: Option<f64>,
+    /// The largest ratio of the overshoot over the limit to the overshoot that the bound allows.
+    #[serde(rename = "nearest")]
+    pub peak_overshoot_ratio: f64,
+    /// The seconds from the fault until the limit is in use again; none without a fault, or if that was not
+    /// reached while the load lasted.
+    #[serde(rename = "again_s")]
+    pub recovered_after_s: Option<f64>,
+    /// The number of violations of rules.
     pub violations: usize,
 }
 
-/// When requests got through that the limit was on, from the beginning of the load.
-fn admission_times(played: &RunReport) -> Vec<Micros> {
+/// Returns the times, from the beginning of the load, at which requests of the limited tenant were admitted.
+/// Only the first attempt of each request counts.
+fn admission_times(report: &RunReport) -> Vec<Micros> {
     let mut seen = std::collections::BTreeSet::new();
-    let firsts = played.history.lines.iter().filter_map(|line| match &line.event {
+    let first_attempts = report.history.lines.iter().filter_map(|line| match &line.event {
         Event::AttemptReceived { op, first_byte, .. } if seen.insert(*op) => {
-            first_byte.checked_sub(played.load_period.0)
+            first_byte.checked_sub(report.load_period.0)
         }
         _ => None,
     });
-    firsts.collect()
+    first_attempts.collect()
 }
 
-fn measure_run(case: &Case, scenario: &Scenario, seed: u64, played: &RunReport) -> RunMeasurement {
-    let (begin, end) = played.load_period;
-    let (nearest, used) = checkers::limit_usage(scenario, &played.history, end - USAGE_WINDOW, end);
-    let through = admission_times(played);
+fn measure_run(case: &Case, scenario: &Scenario, seed: u64, report: &RunReport) -> RunMeasurement {
+    let (begin, end) = report.load_period;
+    let (peak_overshoot_ratio, used) =
+        checkers::limit_usage(scenario, &report.history, end - USAGE_WINDOW, end);
+    let admitted = admission_times(report);
     let fault = (FAULT_AT_S * SECOND as f64) as Micros;
-    let wanted = RECOVERED_USAGE_RATIO * LIMIT_PER_SECOND * SLICE as f64 / SECOND as f64;
-    let is_full = |from: Micros| {
-        let count = through.iter().filter(|at| (from..from + SLICE).contains(at)).count();
-        count as f64 >= wanted
+    let min_count = RECOVERED_USAGE_RATIO * LIMIT_PER_SECOND * SLICE as f64 / SECOND as f64;
+    let is_used = |from: Micros| {
+        let count = admitted.iter().filter(|at| (from..from + SLICE).contains(at)).count();
+        count as f64 >= min_count
     };
     let mut instants =
         (0..).map(|n| fault + n * SCAN_STEP).take_while(|at| at + SLICE_COUNT * SLICE <= end - begin);
-    let again = instants.find(|at| (0..SLICE_COUNT).all(|n| is_full(at + n * SLICE)));
-    let again_s = again.map(|at| (at - fault) as f64 / SECOND as f64).filter(|_| case.fault.is_some());
-    RunMeasurement { seed, used, nearest, again_s, violations: played.violations.len() }
+    let recovered = instants.find(|at| (0..SLICE_COUNT).all(|n| is_used(at + n * SLICE)));
+    let recovered_after_s =
+        recovered.map(|at| (at - fault) as f64 / SECOND as f64).filter(|_| case.fault.is_some());
+    RunMeasurement {
+        seed,
+        used,
+        peak_overshoot_ratio,
+        recovered_after_s,
+        violations: report.violations.len(),
+    }
 }
 
+/// The measured runs of one case.
 #[derive(Debug, Serialize)]
 pub struct CaseResult {
+    /// The name of the case.
     pub case: &'static str,
-    pub readings: Vec<RunMeasurement>,
-    /// Plays that the machine was too busy for, three times each.
+    /// The measured values of each valid run.
+    #[serde(rename = "readings")]
+    pub measurements: Vec<RunMeasurement>,
+    /// The number of seeds that are void because the test cluster was delayed in each of three runs.
     pub void: usize,
 }
 
 impl CaseResult {
-    pub fn median(&self, of: impl Fn(&RunMeasurement) -> f64) -> Option<Median> {
-        median(&self.readings.iter().map(of).collect::<Vec<f64>>())
+    /// Returns the median of one value over all runs.
+    pub fn median(&self, value: impl Fn(&RunMeasurement) -> f64) -> Option<Median> {
+        median(&self.measurements.iter().map(value).collect::<Vec<f64>>())
     }
 }
 
-/// Plays all cases with each seed, so many side by side.
+/// Runs all cases with each seed, `jobs` runs at a time. `options` returns the run options for a directory.
 ///
 /// # Errors
-/// The first play that could not be set up or kept up.
+///
+/// Fails if a run fails; the error is that of the first such run by seed and case.
 pub fn measure_cases(
     seeds: std::ops::Range<u64>,
     jobs: usize,
     options: impl Fn(&std::path::Path) -> RunOptions + Sync,
 ) -> Result<Vec<CaseResult>, String> {
     let scenario = |case: usize, seed| CASES[case].scenario(seed);
-    let played = run_cases(CASES.len(), seeds, jobs, options, scenario, |case, seed, played| {
-        measure_run(&CASES[case], &scenario(case, seed), seed, played)
+    let measured = run_cases(CASES.len(), seeds, jobs, options, scenario, |case, seed, report| {
+        measure_run(&CASES[case], &scenario(case, seed), seed, report)
     })?;
-    let row = |(case, (readings, void)): (&Case, (Vec<RunMeasurement>, usize))| CaseResult {
+    let row = |(case, (measurements, void)): (&Case, (Vec<RunMeasurement>, usize))| CaseResult {
         case: case.name,
-        readings,
+        measurements,
         void,
     };
-    Ok(CASES.iter().zip(played).map(row).collect())
+    Ok(CASES.iter().zip(measured).map(row).collect())
 }
 
-/// The table for people, as Markdown.
+/// Returns the results as a Markdown table.
 pub fn markdown_table(rows: &[CaseResult]) -> String {
     let mut text =
-        "| fleet | plays | used of the limit | nearest to the bound | in use again after, s | violations |\n\
+        "| case | runs | used of the limit | overshoot / allowed overshoot | seconds to use | violations |\n\
                     | --- | --- | --- | --- | --- | --- |\n"
             .to_string();
     for row in rows {
-        let has_fault = row.readings.iter().any(|of| of.again_s.is_some());
-        let again = row.median(|of| of.again_s.unwrap_or(f64::INFINITY)).filter(|_| has_fault);
+        let has_recovered = row.measurements.iter().any(|of| of.recovered_after_s.is_some());
+        let recovered_after_s =
+            row.median(|of| of.recovered_after_s.unwrap_or(f64::INFINITY)).filter(|_| has_recovered);
         text += &format!(
             "| {} | {}{} | {} | {} | {} | {} |\n",
             row.case,
-            row.readings.len(),
+            row.measurements.len(),
             if row.void > 0 { format!(", {} void", row.void) } else { String::new() },
             format_median(row.median(|of| of.used), 3),
-            format_median(row.median(|of| of.nearest), 2),
-            format_median(again, 2),
-            row.readings.iter().map(|of| of.violations).sum::<usize>(),
+            format_median(row.median(|of| of.peak_overshoot_ratio), 2),
+            format_median(recovered_after_s, 2),
+            row.measurements.iter().map(|of| of.violations).sum::<usize>(),
         );
     }
     text
--- a/crates/process-tests/src/recovery_measurement.rs
+++ b/crates/process-tests/src/recovery_measurement.rs
@@ -1,6 +1,6 @@
-//! How a fleet comes back: plays each fault with many seeds, beside the same load without it, and says how long full service
-//! takes and what the way there costs. It owns the definition of full service. It must never count a run in which the test cluster
-//! itself was late.
+//! Measures the recovery of a fleet: runs each fault with many seeds, and the same load without it, and
+//! reports the time until full service and the load that recovery causes. This module defines full service. A
+//! run in which the test cluster itself was delayed is void and not counted.
 
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,58 +21,77 @@
 use crate::cluster::{MAX_LATENESS, RunOptions, RunReport, run_scenario};
 use crate::scenario::{FaultKind, Scenario};
 
-/// Service is full from the first instant from which, for so long, each part serves so much of what it serves without the
-/// fault.
+/// The time for which service must be full. Full service begins at the first instant after which, for this
+/// time, each slice serves at least [`FULL_SERVICE_RATIO`] of the requests that it serves without the fault.
 const STEADY_TIME: Micros = 5 * SECOND;
+/// The length of a slice.
 const SLICE: Micros = SECOND / 2;
+/// The ratio of served requests from which a slice has full service.
 const FULL_SERVICE_RATIO: f64 = 0.98;
-/// Instants are looked at so far apart.
+/// The distance between the instants that are examined as the beginning of full service.
 const SCAN_STEP: Micros = 50 * MS;
-/// When the fault comes, and how long its processes are away.
+/// The time of the fault, in seconds after the load began.
 const FAULT_AT_S: f64 = 2.0;
+/// The time for which the killed processes are down, in seconds.
 const DOWNTIME_S: f64 = 1.0;
-/// A run in which the test cluster was late is played again so often.
+/// The number of times that a scenario is run before it counts as void because the test cluster was delayed.
 const MAX_TRIES: usize = 3;
-/// How long processes that serve nothing are waited for at the end of a play.
+/// The time to wait at the end of a run for balancers that serve nothing.
 const HANG_TIMEOUT: Micros = 5 * SECOND;
 /// The resolution of plots, and the window in which peaks are counted.
 const PEAK_WINDOW: Micros = 100 * MS;
 
-/// What one play shows.
+/// The measured values of one run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RunMeasurement {
+    /// The seed of the scenario.
     pub seed: u64,
-    /// From the start of the last process that came back; none: not within the load.
+    /// The seconds from the start of the last restarted process to full service; none if it was not reached
+    /// while the load lasted.
     pub full_after_s: Option<f64>,
-    /// Of the requests of the first five seconds back, how many were served, of what is served without the fault.
+    /// The ratio of served requests in the first five seconds after the restart to those served without the
+    /// fault.
     pub served: f64,
-    /// At the worst in 100 ms, from the fault on.
-    pub list_calls: usize,
+    /// The largest number of discovery calls in 100 ms after the fault.
+    #[serde(rename = "list_calls")]
+    pub discovery_calls: usize,
+    /// The largest number of connections that one endpoint accepted in 100 ms after the fault.
     pub connections: usize,
-    pub pushes: usize,
-    pub refused: usize,
+    /// The largest number of attempts that one endpoint received in 100 ms after the fault.
+    #[serde(rename = "pushes")]
+    pub attempts: usize,
+    /// The number of responses 429 and 503 after the fault.
+    #[serde(rename = "refused")]
+    pub rejected: usize,
+    /// The number of requests after the fault without a connection or without a complete response.
     pub lost: usize,
-    /// At the worst, work at a warming endpoint in a window as a part of what it bears.
-    pub cold_part: f64,
-    /// Of the requests served in the first five seconds back.
+    /// The largest ratio of the work that a warming endpoint received to the work that it was allowed.
+    #[serde(rename = "cold_part")]
+    pub slow_start_ratio: f64,
+    /// The median latency of the requests served in the first five seconds after the restart.
     pub p50_ms: f64,
+    /// The 99th percentile of the same latencies.
     pub p99_ms: f64,
+    /// The number of violations of rules.
     pub violations: usize,
-    /// Served in each 100 ms as a part of what is served without the fault, and attempts, from the beginning of the load.
+    /// For each 100 ms from the beginning of the load, the ratio of served requests to those served without
+    /// the fault.
     pub service: Vec<f64>,
+    /// For each 100 ms from the beginning of the load, the number of attempts that endpoints received.
     pub load: Vec<f64>,
 }
 
-/// First tries that were served, by when they were asked, counted from the beginning of the load; and how long each took.
-fn served_requests(played: &RunReport) -> BTreeMap<u64, (Micros, Micros)> {
-    let mut asked = BTreeMap::new();
+/// Returns the requests, apart from clients' retries, that were served: for each the time from the beginning
+/// of the load to its start, and its latency.
+fn served_requests(report: &RunReport) -> BTreeMap<u64, (Micros, Micros)> {
+    let mut started = BTreeMap::new();
     let mut served = BTreeMap::new();
-    for line in &played.history.lines {
+    for line in &report.history.lines {
         match &line.event {
-            Event::RequestStarted { op, .. } if *op < FIRST_RETRY_ID => drop(asked.insert(*op, line.at)),
+            Event::RequestStarted { op, .. } if *op < FIRST_RETRY_ID => drop(started.insert(*op, line.at)),
             Event::ResponseReceived { op, status: 200, .. } => {
-                if let Some(at) = asked.get(op) {
-                    served.insert(*op, (at.saturating_sub(played.load_period.0), line.at - at));
+                if let Some(at) = started.get(op) {
+                    served.insert(*op, (at.saturating_sub(report.load_period.0), line.at - at));
                 }
             }
             _ => {}
@@ -81,65 +100,73 @@
     served
 }
 
-/// The most events of one kind in any 100 ms; kinds of `None` are not counted.
-fn peak_count(played: &RunReport, from: Micros, kind: impl Fn(&Event) -> Option<String>) -> usize {
+/// Returns the largest number of events of one kind in any 100 ms; events of kind `None` are not counted.
+fn peak_count(report: &RunReport, from: Micros, kind: impl Fn(&Event) -> Option<String>) -> usize {
     let mut recent: BTreeMap<String, std::collections::VecDeque<Micros>> = BTreeMap::new();
-    let mut most = 0;
-    for line in played.history.lines.iter().filter(|line| line.at >= from && line.at < played.load_period.1) {
+    let mut peak = 0;
+    for line in report.history.lines.iter().filter(|line| line.at >= from && line.at < report.load_period.1) {
         if let Some(kind) = kind(&line.event) {
-            let of = recent.entry(kind).or_default();
-            of.push_back(line.at);
-            while of.front().is_some_and(|first| first + PEAK_WINDOW <= line.at) {
-                of.pop_front();
+            let times = recent.entry(kind).or_default();
+            times.push_back(line.at);
+            while times.front().is_some_and(|first| first + PEAK_WINDOW <= line.at) {
+                times.pop_front();
             }
-            most = most.max(of.len());
+            peak = peak.max(times.len());
         }
     }
-    most
+    peak
 }
 
-/// What one play shows beside the play of its load without the fault.
-pub fn measure_run(seed: u64, played: &RunReport, base: &RunReport, scenario: &Scenario) -> RunMeasurement {
-    let begin = played.load_period.0;
-    let first = scenario
+/// Measures a run in comparison with `baseline`, the run of the same load without the fault.
+pub fn measure_run(
+    seed: u64,
+    report: &RunReport,
+    baseline: &RunReport,
+    scenario: &Scenario,
+) -> RunMeasurement {
+    let begin = report.load_period.0;
+    let first_fault_s = scenario
         .faults
         .iter()
         .filter(|fault| fault.kind != FaultKind::Partition)
         .map(|fault| fault.at)
         .fold(f64::MAX, f64::min);
-    let fault = begin + (first * SECOND as f64) as Micros;
-    let starts = played.history.lines.iter().filter(|line| line.at > fault);
-    let back = starts.filter(|line| matches!(line.event, Event::Process { did: ProcessChange::Started, .. }));
-    let back = back.map(|line| line.at).max().unwrap_or(fault) - begin;
-    let (seen, usual) = (served_requests(played), served_requests(base));
-    // When the requests of the run without the fault came: arrivals are the same.
-    let at_all: Vec<(Micros, bool)> =
-        usual.iter().map(|(op, (at, _))| (*at, seen.contains_key(op))).collect();
-    let part = |from: Micros, to: Micros| {
-        let (mut all, mut some) = (0u32, 0u32);
-        for (_, is_served) in at_all.iter().filter(|(at, _)| *at >= from && *at < to) {
+    let fault = begin + (first_fault_s * SECOND as f64) as Micros;
+    let later_lines = report.history.lines.iter().filter(|line| line.at > fault);
+    let starts =
+        later_lines.filter(|line| matches!(line.event, Event::Process { did: ProcessChange::Started, .. }));
+    let restarted = starts.map(|line| line.at).max().unwrap_or(fault) - begin;
+    let (served, served_in_baseline) = (served_requests(report), served_requests(baseline));
+    // Requests arrive at the same times in both runs.
+    let arrivals: Vec<(Micros, bool)> =
+        served_in_baseline.iter().map(|(op, (at, _))| (*at, served.contains_key(op))).collect();
+    let served_ratio = |from: Micros, to: Micros| {
+        let (mut all, mut served_count) = (0u32, 0u32);
+        for (_, is_served) in arrivals.iter().filter(|(at, _)| *at >= from && *at < to) {
             all += 1;
-            some += u32::from(*is_served);
+            served_count += u32::from(*is_served);
         }
-        if all == 0 { 1.0 } else { f64::from(some) / f64::from(all) }
+        if all == 0 { 1.0 } else { f64::from(served_count) / f64::from(all) }
     };
-    let end = played.load_period.1 - begin;
+    let end = report.load_period.1 - begin;
     let is_full = |at: Micros| {
-        (0..STEADY_TIME / SLICE).all(|n| part(at + n * SLICE, at + (n + 1) * SLICE) >= FULL_SERVICE_RATIO)
+        (0..STEADY_TIME / SLICE)
+            .all(|n| served_ratio(at + n * SLICE, at + (n + 1) * SLICE) >= FULL_SERVICE_RATIO)
     };
-    let mut instants = (0..).map(|n| back + n * SCAN_STEP).take_while(|at| at + STEADY_TIME <= end);
+    let mut instants = (0..).map(|n| restarted + n * SCAN_STEP).take_while(|at| at + STEADY_TIME <= end);
     let full = instants.find(|at| is_full(*at));
-    let mut took = Histogram::<u64>::new_with_bounds(1, 60 * SECOND, 3).expect("sound bounds");
-    for (_, took_of) in seen.values().filter(|(at, _)| *at >= back && *at < back + STEADY_TIME) {
-        took.saturating_record(*took_of);
+    let mut latencies = Histogram::<u64>::new_with_bounds(1, 60 * SECOND, 3).expect("valid bounds");
+    for (_, latency) in served.values().filter(|(at, _)| *at >= restarted && *at < restarted + STEADY_TIME) {
+        latencies.saturating_record(*latency);
     }
-    let count = |is: &dyn Fn(&Event) -> bool| {
-        played.history.lines.iter().filter(|line| line.at >= fault && is(&line.event)).count()
+    let count = |matches: &dyn Fn(&Event) -> bool| {
+        report.history.lines.iter().filter(|line| line.at >= fault && matches(&line.event)).count()
     };
     let steps = (end / PEAK_WINDOW) as usize;
-    let service = (0..steps).map(|n| part(n as u64 * PEAK_WINDOW, (n as u64 + 1) * PEAK_WINDOW)).collect();
+    let service =
+        (0..steps).map(|n| served_ratio(n as u64 * PEAK_WINDOW, (n as u64 + 1) * PEAK_WINDOW)).collect();
     let mut load = vec![0.0; steps];
-    for line in &played.history.lines {
+    for line in &report.history.lines {
         if let Event::AttemptReceived { .. } = line.event
             && let Some(step) = load.get_mut((line.at.saturating_sub(begin) / PEAK_WINDOW) as usize)
         {
@@ -148,100 +175,112 @@
     }
     RunMeasurement {
         seed,
-        full_after_s: full.map(|at| (at - back) as f64 / SECOND as f64),
-        served: part(back, back + STEADY_TIME),
-        list_calls: peak_count(played, fault, |event| {
+        full_after_s: full.map(|at| (at - restarted) as f64 / SECOND as f64),
+        served: served_ratio(restarted, restarted + STEADY_TIME),
+        discovery_calls: peak_count(report, fault, |event| {
             matches!(event, Event::DiscoveryCalled { .. }).then(String::new)
         }),
-        connections: peak_count(played, fault, |event| match event {
+        connections: peak_count(report, fault, |event| match event {
             Event::ConnectionAccepted { server, .. } => Some(server.clone()),
             _ => None,
         }),
-        pushes: peak_count(played, fault, |event| match event {
+        attempts: peak_count(report, fault, |event| match event {
             Event::AttemptReceived { server, .. } => Some(server.clone()),
             _ => None,
         }),
-        refused: count(&|event| matches!(event, Event::ResponseReceived { status: 429 | 503, .. })),
+        rejected: count(&|event| matches!(event, Event::ResponseReceived { status: 429 | 503, .. })),
         lost: count(&|event| {
             matches!(
                 event,
                 Event::ConnectionLost { .. } | Event::ResponseMissing { .. } | Event::NotConnected { .. }
             )
         }),
-        cold_part: crate::checkers::peak_slow_start_ratio(scenario, &played.history),
-        p50_ms: took.value_at_quantile(0.5) as f64 / 1e3,
-        p99_ms: took.value_at_quantile(0.99) as f64 / 1e3,
-        violations: played.violations.len(),
+        slow_start_ratio: crate::checkers::peak_slow_start_ratio(scenario, &report.history),
+        p50_ms: latencies.value_at_quantile(0.5) as f64 / 1e3,
+        p99_ms: latencies.value_at_quantile(0.99) as f64 / 1e3,
+        violations: report.violations.len(),
         service,
         load,
     }
 }
 
-/// A median, and between which order statistics the true one lies with 95 %, by the binomial distribution.
+/// A median with its 95 % confidence interval, whose bounds are order statistics by the binomial
+/// distribution.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Median {
+    /// The median of the sample.
     pub median: f64,
+    /// The lower bound of the interval.
     pub low: f64,
+    /// The upper bound of the interval.
     pub high: f64,
 }
 
-/// None where there is nothing to sort.
+/// Returns the median of the values; there is none without values.
 pub fn median(values: &[f64]) -> Option<Median> {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
     let n = sorted.len();
     let last = n.checked_sub(1)?;
-    // The largest k with P(at most k of n below the median) <= 2.5 %.
-    let (mut chance, mut sum, mut below) = (0.5f64.powi(n as i32), 0.0, 0);
+    // This finds the largest k for which the probability of at most k of n values below the median is <= 2.5
+    // %.
+    let (mut probability, mut sum, mut below) = (0.5f64.powi(n as i32), 0.0, 0);
     for k in 0..n / 2 {
-        sum += chance;
+        sum += probability;
         if sum > 0.025 {
             break;
         }
         below = k + 1;
-        chance *= (n - k) as f64 / (k + 1) as f64;
+        probability *= (n - k) as f64 / (k + 1) as f64;
     }
     let low = below.saturating_sub(1);
     let middle = (sorted[last / 2] + sorted[n / 2]) / 2.0;
     Some(Median { median: middle, low: sorted[low], high: sorted[last - low] })
 }
 
+/// The measured runs of one case.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct CaseResult {
+    /// The name of the case.
     pub case: String,
-    pub readings: Vec<RunMeasurement>,
-    /// Plays that the machine was too busy for, three times each.
+    /// The measured values of each valid run.
+    #[serde(rename = "readings")]
+    pub measurements: Vec<RunMeasurement>,
+    /// The number of seeds that are void because the test cluster was delayed in each of three runs.
     pub void: usize,
 }
 
 impl CaseResult {
-    pub fn median(&self, figure: impl Fn(&RunMeasurement) -> f64) -> Option<Median> {
-        median(&self.readings.iter().map(figure).collect::<Vec<f64>>())
+    /// Returns the median of one value over all runs.
+    pub fn median(&self, value: impl Fn(&RunMeasurement) -> f64) -> Option<Median> {
+        median(&self.measurements.iter().map(value).collect::<Vec<f64>>())
     }
 
-    /// One that did not come back within the load counts as infinitely late.
+    /// Returns the median of the seconds until full service; a run that did not reach it counts as infinite.
     pub fn full_service_after(&self) -> Option<Median> {
-        self.median(|reading| reading.full_after_s.unwrap_or(f64::INFINITY))
+        self.median(|measurement| measurement.full_after_s.unwrap_or(f64::INFINITY))
     }
 }
 
-pub fn format_median(of: Option<Median>, digits: usize) -> String {
-    let text = |of: f64| if of.is_finite() { format!("{of:.digits$}") } else { "never".to_string() };
-    of.map_or("-".to_string(), |of| format!("{} ({} to {})", text(of.median), text(of.low), text(of.high)))
+/// Returns a median with its interval as text, with this number of decimal places; infinity is `never`.
+pub fn format_median(value: Option<Median>, digits: usize) -> String {
+    let text = |value: f64| if value.is_finite() { format!("{value:.digits$}") } else { "never".to_string() };
+    value.map_or("-".to_string(), |of| format!("{} ({} to {})", text(of.median), text(of.low), text(of.high)))
 }
 
-/// Puts the readings of several calls together, as each printed them with `--json`.
+/// Merges the results of several calls, each of which is the text that a call with `--json` printed.
 ///
 /// # Errors
-/// Why a text is none.
+///
+/// Fails if a text is not JSON of this form.
 pub fn merge_results(texts: &[String]) -> Result<Vec<CaseResult>, String> {
     let mut all: Vec<CaseResult> = Vec::new();
     for text in texts {
-        let rows: Vec<CaseResult> = serde_json::from_str(text).map_err(|error| error.to_string())?;
+        let rows: Vec<CaseResult> = serde_json::from_str(text).map_err(|error| format!("--read: {error}"))?;
         for row in rows {
             match all.iter_mut().find(|known| known.case == row.case) {
                 Some(known) => {
-                    known.readings.extend(row.readings);
+                    known.measurements.extend(row.measurements);
                     known.void += row.void;
                 }
                 None => all.push(row),
@@ -251,10 +290,11 @@
     Ok(all)
 }
 
-/// The table for people, as Markdown.
+/// Returns the results as a Markdown table.
 pub fn markdown_table(rows: &[CaseResult]) -> String {
-    let mut text = "| after | plays | full service, s | served in the first 5 s | worst 100 ms: calls at the list | connections at an \
-                    upstream | pushes at one | refused | lost | work at a cold one, of what it bears | p50, p99 ms |\n\
+    let mut text = "| case | runs | seconds to full service | served in the first 5 s | \
+                    peak in 100 ms: discovery calls | connections at an endpoint | attempts at an endpoint | \
+                    rejected | lost | work at a warming endpoint / allowed work | p50, p99 ms |\n\
                     | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
         .to_string();
     for row in rows {
@@ -262,16 +302,16 @@
         text += &format!(
             "| {} | {}{} | {} | {} | {} | {} | {} | {} | {} | {} | {}; {} |\n",
             row.case,
-            row.readings.len(),
+            row.measurements.len(),
             if row.void > 0 { format!(", {} void", row.void) } else { String::new() },
             format_median(row.full_service_after(), 2),
             of(&|of| of.served, 3),
-            of(&|of| of.list_calls as f64, 0),
+            of(&|of| of.discovery_calls as f64, 0),
             of(&|of| of.connections as f64, 0),
-            of(&|of| of.pushes as f64, 0),
-            of(&|of| of.refused as f64, 0),
+            of(&|of| of.attempts as f64, 0),
+            of(&|of| of.rejected as f64, 0),
             of(&|of| of.lost as f64, 0),
-            of(&|of| of.cold_part, 2),
+            of(&|of| of.slow_start_ratio, 2),
             of(&|of| of.p50_ms, 1),
             of(&|of| of.p99_ms, 1),
         );
@@ -279,90 +319,95 @@
     text
 }
 
-fn run_in_time(
+/// Runs a scenario until the test cluster was not delayed; returns none if it always was.
+fn run_with_retries(
     scenario: &Scenario,
     options: &impl Fn(&std::path::Path) -> RunOptions,
 ) -> Result<Option<RunReport>, String> {
     for _ in 0..MAX_TRIES {
-        let folder = tempfile::tempdir().map_err(|error| error.to_string())?;
-        // Whether they serve again in the end is what is measured.
-        let options = RunOptions { hang_timeout: HANG_TIMEOUT, ..options(folder.path()) };
-        let played = run_scenario(scenario, &options)?;
-        if played.max_lateness <= MAX_LATENESS {
-            return Ok(Some(played));
+        let directory = tempfile::tempdir().map_err(|error| error.to_string())?;
+        // A balancer that does not serve again is a result here, so a short timeout is enough.
+        let options = RunOptions { hang_timeout: HANG_TIMEOUT, ..options(directory.path()) };
+        let report = run_scenario(scenario, &options)?;
+        if report.max_lateness <= MAX_LATENESS {
+            return Ok(Some(report));
         }
     }
     Ok(None)
 }
 
-/// The readings of one case, and how many plays the machine was too busy for.
+/// The measurements of one case, and the number of its void runs.
 pub type CaseMeasurements<R> = (Vec<R>, usize);
 
-/// Plays so many cases with each seed, so many side by side, and reads each play that was in time; by case, by seed.
+/// Runs each of `cases` cases with each seed, `jobs` at a time, and returns for each case what `measure`
+/// returns for its valid runs, in the order of seeds.
 ///
 /// # Errors
-/// The first play that could not be set up or kept up.
+///
+/// Fails if a run fails; the error is that of the first such run by seed and case.
 pub fn run_cases<R: Send>(
     cases: usize,
     seeds: std::ops::Range<u64>,
     jobs: usize,
     options: impl Fn(&std::path::Path) -> RunOptions + Sync,
     scenario: impl Fn(usize, u64) -> Scenario + Sync,
-    read: impl Fn(usize, u64, &RunReport) -> R + Sync,
+    measure: impl Fn(usize, u64, &RunReport) -> R + Sync,
 ) -> Result<Vec<CaseMeasurements<R>>, String> {
-    let plays: Vec<(u64, usize)> = seeds.flat_map(|seed| (0..cases).map(move |case| (seed, case))).collect();
+    let runs: Vec<(u64, usize)> = seeds.flat_map(|seed| (0..cases).map(move |case| (seed, case))).collect();
     let (next, done) = (AtomicUsize::new(0), Mutex::new(BTreeMap::new()));
     std::thread::scope(|scope| {
         for _ in 0..jobs.max(1) {
             scope.spawn(|| {
-                while let Some(&(seed, case)) = plays.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let played = run_in_time(&scenario(case, seed), &options);
-                    let reading = played.map(|played| played.map(|played| read(case, seed, &played)));
-                    done.lock().expect("no panic while it is held").insert((seed, case), reading);
+                while let Some(&(seed, case)) = runs.get(next.fetch_add(1, Ordering::Relaxed)) {
+                    let result = run_with_retries(&scenario(case, seed), &options);
+                    let measurement = result.map(|report| report.map(|report| measure(case, seed, &report)));
+                    done.lock().expect("no panic while it is locked").insert((seed, case), measurement);
                 }
             });
         }
     });
     let mut all: Vec<CaseMeasurements<R>> = (0..cases).map(|_| (Vec::new(), 0)).collect();
-    for ((_, case), reading) in done.into_inner().expect("no panic while it is held") {
-        match reading? {
-            Some(reading) => all[case].0.push(reading),
+    for ((_, case), measurement) in done.into_inner().expect("no panic while it is locked") {
+        match measurement? {
+            Some(measurement) => all[case].0.push(measurement),
             None => all[case].1 += 1,
         }
     }
     Ok(all)
 }
 
-/// Plays these cases with each seed, so many side by side. `options` says what is played in a folder.
+/// Runs these cases with each seed, `jobs` seeds at a time. `options` returns the run options for a
+/// directory.
 ///
 /// # Errors
-/// The first play that could not be set up or kept up.
+///
+/// Fails if a run fails; the error is that of the first run to fail.
 pub fn measure_cases(
     cases: &[Case],
     seeds: std::ops::Range<u64>,
     jobs: usize,
     options: impl Fn(&std::path::Path) -> RunOptions + Sync,
 ) -> Result<Vec<CaseResult>, String> {
-    let longest =
+    let max_seconds =
         cases.iter().map(|case| case.fault_at_s + DOWNTIME_S + case.load_after_s).fold(0.0, f64::max);
     let seeds: Vec<u64> = seeds.collect();
     let next = AtomicUsize::new(0);
     let rows: Vec<CaseResult> = cases
         .iter()
-        .map(|case| CaseResult { case: case.name.to_string(), readings: Vec::new(), void: 0 })
+        .map(|case| CaseResult { case: case.name.to_string(), measurements: Vec::new(), void: 0 })
         .collect();
     let shared = Mutex::new((rows, None::<String>));
     std::thread::scope(|scope| {
         for _ in 0..jobs.max(1) {
             scope.spawn(|| {
                 while let Some(seed) = seeds.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let done = measure_seed(cases, *seed, longest, &options);
-                    let mut shared = shared.lock().expect("no panic while it is held");
+                    let done = measure_seed(cases, *seed, max_seconds, &options);
+                    let mut shared = shared.lock().expect("no panic while it is locked");
                     match done {
-                        Ok(readings) => {
-                            for (row, reading) in shared.0.iter_mut().zip(readings) {
-                                match reading {
-                                    Some(reading) => row.readings.push(reading),
+                        Ok(measurements) => {
+                            for (row, measurement) in shared.0.iter_mut().zip(measurements) {
+                                match measurement {
+                                    Some(measurement) => row.measurements.push(measurement),
                                     None => row.void += 1,
                                 }
                             }
@@ -376,48 +421,54 @@
             });
         }
     });
-    let (mut rows, error) = shared.into_inner().expect("no panic while it is held");
-    rows.iter_mut().for_each(|row| row.readings.sort_by_key(|reading| reading.seed));
+    let (mut rows, error) = shared.into_inner().expect("no panic while it is locked");
+    rows.iter_mut().for_each(|row| row.measurements.sort_by_key(|measurement| measurement.seed));
     error.map_or(Ok(rows), Err)
 }
 
+/// Measures each case with one seed; the result is none for a case whose run, or the run without its fault,
+/// is void.
 fn measure_seed(
     cases: &[Case],
     seed: u64,
-    longest: f64,
+    max_seconds: f64,
     options: &impl Fn(&std::path::Path) -> RunOptions,
 ) -> Result<Vec<Option<RunMeasurement>>, String> {
-    let mut bases: BTreeMap<bool, Option<RunReport>> = BTreeMap::new();
-    let mut readings = Vec::new();
+    // The runs without a fault, by whether their requests are heavy.
+    let mut baselines: BTreeMap<bool, Option<RunReport>> = BTreeMap::new();
+    let mut measurements = Vec::new();
     for case in cases {
-        let base = match bases.entry(case.heavy_requests) {
-            Entry::Occupied(base) => base.into_mut(),
-            Entry::Vacant(place) => place
-                .insert(run_in_time(&scenario_without_fault(seed, longest, case.heavy_requests), options)?),
+        let baseline = match baselines.entry(case.heavy_requests) {
+            Entry::Occupied(entry) => entry.into_mut(),
+            Entry::Vacant(entry) => {
+                let scenario = scenario_without_fault(seed, max_seconds, case.heavy_requests);
+                entry.insert(run_with_retries(&scenario, options)?)
+            }
         };
-        let Some(base) = base else {
-            readings.push(None);
+        let Some(baseline) = baseline else {
+            measurements.push(None);
             continue;
         };
         let scenario = case.scenario(seed);
-        let played = run_in_time(&scenario, options)?;
-        readings.push(played.map(|played| measure_run(seed, &played, base, &scenario)));
+        let report = run_with_retries(&scenario, options)?;
+        measurements.push(report.map(|report| measure_run(seed, &report, baseline, &scenario)));
     }
-    Ok(readings)
+    Ok(measurements)
 }
 
-/// The cases of these names; all where none is named.
+/// Returns the cases with these names, or all cases if there are no names.
 ///
 /// # Errors
-/// A name that no case has, and those that there are.
+///
+/// Fails if no case has one of the names; the error lists the cases.
 pub fn select_cases(names: &[String]) -> Result<Vec<Case>, String> {
     let known: BTreeSet<&str> = CASES.iter().map(|case| case.name).collect();
     if let Some(name) = names.iter().find(|name| !known.contains(name.as_str())) {
         let known: Vec<&str> = CASES.iter().map(|case| case.name).collect();
-        return Err(format!("no case is called {name:?}; there are {}", known.join(", ")));
+        return Err(format!("{name:?} is not the name of a case; the cases are {}", known.join(", ")));
     }
-    let is_meant = |case: &&Case| names.is_empty() || names.iter().any(|name| name == case.name);
-    Ok(CASES.iter().filter(is_meant).copied().collect())
+    let is_selected = |case: &&Case| names.is_empty() || names.iter().any(|name| name == case.name);
+    Ok(CASES.iter().filter(is_selected).copied().collect())
 }
 
 #[cfg(test)]
--- a/crates/process-tests/src/recovery_measurement/cases.rs
+++ b/crates/process-tests/src/recovery_measurement/cases.rs
@@ -1,31 +1,37 @@
-//! The cases that are measured, one for each row of the table, and the scenario of each.
+//! The measured cases and their scenarios.
 
 use super::{DOWNTIME_S, FAULT_AT_S};
 use crate::scenario::{ConfiguredList, Fault, FaultKind, Fleet, Load, Scenario, StateDirectoryCondition};
 
-/// One row of the table.
+/// A measured case, which is one row of the table.
 #[derive(Clone, Copy)]
 pub struct Case {
+    /// The name of the case.
     pub name: &'static str,
+    /// The balancers that are killed; empty for none.
     killed: &'static str,
     configured_list: ConfiguredList,
     state_directory: StateDirectoryCondition,
+    /// True if all endpoints restart at the time of the fault.
     restart_upstreams: bool,
+    /// The seconds for which discovery is down from the time of the fault.
     discovery_outage_s: f64,
-    /// Balancers keep a state, and their configuration holds no list.
+    /// True if balancers keep their state in a state directory.
     keeps_state: bool,
-    /// Seconds of load after the processes are back.
+    /// The seconds for which the load goes on after the killed processes restart.
     pub(super) load_after_s: f64,
-    /// So many balancers the settings speak of, where they are wrong.
+    /// The number of balancers in the settings, if it differs from the true one.
     configured_balancers: Option<u32>,
-    /// Balancers know each other, and so many are keepers.
+    /// The number of registry replicas; balancers know each other if it is set.
     registry_replicas: Option<usize>,
+    /// The setting `reserve` of `[peers]`.
     reserve: Option<f64>,
-    /// Seconds after the load began; balancers that know each other have counted each other by then.
+    /// The time of the fault in seconds after the load began, by which balancers have counted each other.
     pub(super) fault_at_s: f64,
-    /// A way that is cut from two seconds before until the end.
+    /// The paths that are partitioned from two seconds before the fault until the end; empty for none.
     partitioned_paths: &'static str,
-    /// Few endpoints of one core, and requests of 70 ms: one request of each balancer is a lot for a warming one.
+    /// True for few endpoints with one core and requests of 70 ms, so that one request of each balancer is
+    /// much work for a warming endpoint.
     pub(super) heavy_requests: bool,
 }
 
@@ -53,7 +59,7 @@
     load_after_s: 9.0,
     ..BASE
 };
-/// Endpoints start anew and no balancer does.
+/// All endpoints restart, and no balancer does.
 const COLD_UPSTREAMS: Case =
     Case { killed: "", restart_upstreams: true, load_after_s: 13.0, fault_at_s: 8.0, ..BASE };
 const HEAVY_REQUESTS: Case = Case { heavy_requests: true, ..COLD_UPSTREAMS };
@@ -62,6 +68,7 @@
 const EMPTY_LIST: Case =
     Case { configured_list: ConfiguredList::EmptyWithVersion, load_after_s: 13.0, ..STATE_LOST };
 
+/// All cases, in the order of the table.
 pub const CASES: &[Case] = &[
     Case { name: "9-of-12", ..BASE },
     Case { name: "9-of-12-cold", restart_upstreams: true, load_after_s: 13.0, ..BASE },
@@ -151,6 +158,7 @@
     },
 ];
 
+/// Returns the scenario of a load without a fault.
 pub(super) fn scenario_without_fault(seed: u64, seconds: f64, heavy: bool) -> Scenario {
     let mut fleet = Fleet { balancers: 12, upstreams: 8, ..Fleet::default() };
     let mut load = Load { rate: 500.0, abandon_ratio: 0.0, ..Load::default() };
@@ -162,6 +170,7 @@
 }
 
 impl Case {
+    /// Returns the scenario of the case with this seed.
     pub fn scenario(&self, seed: u64) -> Scenario {
         let mut scenario = scenario_without_fault(
             seed,
@@ -172,7 +181,7 @@
         (scenario.fleet.configured_balancers, scenario.fleet.registry_replicas) =
             (self.configured_balancers, self.registry_replicas);
         scenario.fleet.reserve = self.reserve;
-        let usual = Fault {
+        let kill = Fault {
             at: self.fault_at_s,
             kind: FaultKind::Kill,
             targets: String::new(),
@@ -183,32 +192,31 @@
             configured_list: self.configured_list,
             state_directory: self.state_directory,
         };
-        let who = |who: &str| who.to_string();
         if !self.killed.is_empty() {
-            scenario.faults.push(Fault { targets: who(self.killed), ..usual.clone() });
+            scenario.faults.push(Fault { targets: self.killed.to_string(), ..kill.clone() });
         }
         let others = Fault {
             configured_list: ConfiguredList::Last,
             state_directory: StateDirectoryCondition::Kept,
-            ..usual
+            ..kill
         };
         if self.restart_upstreams {
             scenario.faults.push(Fault {
                 kind: FaultKind::Restart,
-                targets: who("u*"),
+                targets: "u*".to_string(),
                 duration_s: 0.0,
                 ..others.clone()
             });
         }
         if !self.partitioned_paths.is_empty() {
-            let cut = Fault {
+            let partition = Fault {
                 kind: FaultKind::Partition,
-                paths: who(self.partitioned_paths),
+                paths: self.partitioned_paths.to_string(),
                 at: self.fault_at_s - 2.0,
                 duration_s: 0.0,
                 ..others.clone()
             };
-            scenario.faults.push(cut);
+            scenario.faults.push(partition);
         }
         if self.discovery_outage_s > 0.0 {
             scenario.faults.push(Fault {
--- a/crates/process-tests/src/recovery_measurement/tests.rs
+++ b/crates/process-tests/src/recovery_measurement/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of [`super`].
+//! Tests of the medians and the scenarios of the cases.
 
 use super::*;
 
-/// Guards against an interval that is too narrow for so few plays. The order statistics of 20 are those of the usual
-/// tables: the sixth and the fifteenth.
+/// Guards against an interval that is too narrow for few runs. For 20 values, statistical tables give the
+/// sixth and the fifteenth as its bounds.
 #[test]
-fn a_median_comes_with_its_interval() {
+fn median_has_its_confidence_interval() {
     let values: Vec<f64> = (1..=20).rev().map(f64::from).collect();
     assert_eq!(median(&values), Some(Median { median: 10.5, low: 6.0, high: 15.0 }));
     assert_eq!(median(&[3.0, 1.0, 2.0]), Some(Median { median: 2.0, low: 1.0, high: 3.0 }));
