--- a/crates/process-tests/src/bin/mutant.rs
+++ b/crates/process-tests/src/bin/mutant.rs
@@ -26,6 +26,7 @@
 use serde_json::Value;
 use tokio::sync::watch;
 
+/// Defines the mutants and the names by which `--mutant` selects them.
 macro_rules! mutants {
     ($($name:ident $text:literal,)*) => {
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -53,7 +54,7 @@
     ChangeStatusToConflict "turned-away",
     SendToDraining "after-drain",
     SendToManuallyEjected "after-ban",
-    FloodWarmingUp "cold-flood",
+    OverloadWarmingEndpoint "cold-flood",
     PollTooOften "list-loop",
     Crash "crash",
     IgnoreTermination "stays",
@@ -82,6 +83,7 @@
     manually_ejected: BTreeSet<String>,
 }
 
+/// The state that all connections of a mutant share.
 struct MutantState {
     mutant: Mutant,
     endpoints: Mutex<ObservedEndpoints>,
@@ -90,6 +92,7 @@
     last_response: Mutex<Vec<u8>>,
 }
 
+/// The system runtime, whose streams pass through the mutant.
 #[derive(Clone)]
 struct MutantRuntime {
     sockets: SystemRuntime,
@@ -116,36 +119,39 @@
     /// Handles an attempt that the balancer has written, and sends the additional attempts of the mutant.
     fn on_sent(&self, to: SocketAddr, bytes: &[u8]) {
         let text = String::from_utf8_lossy(bytes);
-        let is = |kind: &str| text.contains(&format!("/api/{kind}?"));
-        if !(is("look") || is("top") || is("buy")) {
+        let is_kind = |kind: &str| text.contains(&format!("/api/{kind}?"));
+        if !(is_kind("look") || is_kind("top") || is_kind("buy")) {
             return;
         }
         let count = self.attempt_count.fetch_add(1, Ordering::Relaxed);
-        let listed = lock(&self.endpoints).clone();
-        let other = || listed.addresses.values().copied().find(|address| *address != to).unwrap_or(to);
-        let named =
-            |names: &BTreeSet<String>| names.iter().find_map(|name| listed.addresses.get(name)).copied();
+        let endpoints = lock(&self.endpoints).clone();
+        let other_endpoint =
+            || endpoints.addresses.values().copied().find(|address| *address != to).unwrap_or(to);
+        let first_of =
+            |names: &BTreeSet<String>| names.iter().find_map(|name| endpoints.addresses.get(name)).copied();
         let send =
             |after: u64, to: SocketAddr| send_copy_later(Duration::from_millis(after), to, bytes.to_vec());
         match self.mutant {
-            Mutant::DuplicateNonIdempotent if is("buy") && count.is_multiple_of(3) => send(30, other()),
-            Mutant::RetryAfterDedupWindow if is("top") && count.is_multiple_of(5) => send(5500, to),
-            Mutant::SendAfterResponse if is("look") && count.is_multiple_of(9) => send(4500, to),
-            Mutant::ExceedAttemptLimit if is("look") && count.is_multiple_of(9) => {
-                (0..5).for_each(|n| send(n, other()))
+            Mutant::DuplicateNonIdempotent if is_kind("buy") && count.is_multiple_of(3) => {
+                send(30, other_endpoint())
             }
-            Mutant::SendToDraining if is("look") => {
-                if let Some(to) = named(&listed.draining) {
+            Mutant::RetryAfterDedupWindow if is_kind("top") && count.is_multiple_of(5) => send(5500, to),
+            Mutant::SendAfterResponse if is_kind("look") && count.is_multiple_of(9) => send(4500, to),
+            Mutant::ExceedAttemptLimit if is_kind("look") && count.is_multiple_of(9) => {
+                (0..5).for_each(|n| send(n, other_endpoint()))
+            }
+            Mutant::SendToDraining if is_kind("look") => {
+                if let Some(to) = first_of(&endpoints.draining) {
                     send(3000, to);
                 }
             }
-            Mutant::SendToManuallyEjected if is("look") => {
-                if let Some(to) = named(&listed.manually_ejected) {
+            Mutant::SendToManuallyEjected if is_kind("look") => {
+                if let Some(to) = first_of(&endpoints.manually_ejected) {
                     send(3000, to);
                 }
             }
-            Mutant::FloodWarmingUp if is("look") => {
-                if let Some(to) = named(&listed.warming) {
+            Mutant::OverloadWarmingEndpoint if is_kind("look") => {
+                if let Some(to) = first_of(&endpoints.warming) {
                     (0..8).for_each(|_| send(0, to));
                 }
             }
@@ -202,27 +208,27 @@
     loop {
         if let Some(list) = fetch_endpoints(discovery) {
             let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-            let mut listed = ObservedEndpoints::default();
+            let mut endpoints = ObservedEndpoints::default();
             for entry in list["servers"].as_array().into_iter().flatten() {
                 let name = entry["id"].as_str().unwrap_or_default().to_string();
                 let Some(address) = entry["addr"].as_str().and_then(|text| text.parse().ok()) else {
                     continue;
                 };
                 if entry["state"] != "active" {
-                    listed.draining.insert(name.clone());
+                    endpoints.draining.insert(name.clone());
                 }
                 let started = entry["started_ms"].as_u64().unwrap_or(0);
                 if started > 0 && now < started + warm_up_time.as_millis() as u64 {
-                    listed.warming.insert(name.clone());
+                    endpoints.warming.insert(name.clone());
                 }
-                listed.addresses.insert(name, address);
+                endpoints.addresses.insert(name, address);
             }
             for file in std::fs::read_dir(&directory).into_iter().flatten().flatten() {
                 let text = std::fs::read_to_string(file.path()).unwrap_or_default();
                 let names = text.lines().filter_map(|line| line.strip_prefix("out ")?.split(' ').next());
-                listed.manually_ejected.extend(names.map(str::to_string));
+                endpoints.manually_ejected.extend(names.map(str::to_string));
             }
-            *lock(&state.endpoints) = listed;
+            *lock(&state.endpoints) = endpoints;
         }
         thread::sleep(pause);
     }
--- a/crates/process-tests/src/fault_proxy/stream.rs
+++ b/crates/process-tests/src/fault_proxy/stream.rs
@@ -18,7 +18,8 @@
 /// fill as on a real network.
 const MAX_BUFFERED_BYTES: usize = 256 << 10;
 const READ_BUFFER_BYTES: usize = 16 << 10;
-/// The delay that a lost packet adds to a connection: the minimum retransmission timeout of TCP.
+/// The delay that a lost packet adds to a connection: the minimum retransmission timeout of TCP on
+/// Linux.
 const RETRANSMIT_DELAY: Micros = 200 * MS;
 /// The number of arrival times that are kept if nothing reads them.
 const MAX_ARRIVAL_MARKS: usize = 4096;
