--- a/crates/process-tests/src/fault_report_measurement.rs
+++ b/crates/process-tests/src/fault_report_measurement.rs
@@ -211,19 +211,19 @@
                     | --- | --- | --- | --- | --- | --- | --- |\n"
             .to_string();
     for row in rows {
-        let of = |of: &dyn Fn(&RunMeasurement) -> f64, digits| {
-            format_median(median(&row.measurements.iter().map(of).collect::<Vec<f64>>()), digits)
+        let cell = |value: &dyn Fn(&RunMeasurement) -> f64, digits| {
+            format_median(median(&row.measurements.iter().map(value).collect::<Vec<f64>>()), digits)
         };
         text += &format!(
             "| {} | {}{} | {} | {} | {} | {} | {} |\n",
             row.case,
             row.measurements.len(),
             if row.void > 0 { format!(", {} void", row.void) } else { String::new() },
-            of(&|of| of.attempts_at_faulty as f64, 0),
-            of(&|of| of.served, 4),
-            of(&|of| of.rejected as f64, 0),
-            of(&|of| of.failed as f64, 0),
-            row.measurements.iter().map(|of| of.violations).sum::<usize>(),
+            cell(&|run| run.attempts_at_faulty as f64, 0),
+            cell(&|run| run.served, 4),
+            cell(&|run| run.rejected as f64, 0),
+            cell(&|run| run.failed as f64, 0),
+            row.measurements.iter().map(|run| run.violations).sum::<usize>(),
         );
     }
     text
--- a/crates/process-tests/src/quota_measurement.rs
+++ b/crates/process-tests/src/quota_measurement.rs
@@ -228,18 +228,18 @@
                     | --- | --- | --- | --- | --- | --- |\n"
             .to_string();
     for row in rows {
-        let has_recovered = row.measurements.iter().any(|of| of.recovered_after_s.is_some());
+        let has_recovered = row.measurements.iter().any(|run| run.recovered_after_s.is_some());
         let recovered_after_s =
-            row.median(|of| of.recovered_after_s.unwrap_or(f64::INFINITY)).filter(|_| has_recovered);
+            row.median(|run| run.recovered_after_s.unwrap_or(f64::INFINITY)).filter(|_| has_recovered);
         text += &format!(
             "| {} | {}{} | {} | {} | {} | {} |\n",
             row.case,
             row.measurements.len(),
             if row.void > 0 { format!(", {} void", row.void) } else { String::new() },
-            format_median(row.median(|of| of.used), 3),
-            format_median(row.median(|of| of.peak_overshoot_ratio), 2),
+            format_median(row.median(|run| run.used), 3),
+            format_median(row.median(|run| run.peak_overshoot_ratio), 2),
             format_median(recovered_after_s, 2),
-            row.measurements.iter().map(|of| of.violations).sum::<usize>(),
+            row.measurements.iter().map(|run| run.violations).sum::<usize>(),
         );
     }
     text
--- a/crates/process-tests/src/recovery_measurement.rs
+++ b/crates/process-tests/src/recovery_measurement.rs
@@ -265,7 +265,9 @@
 /// Returns a median with its interval as text, with this number of decimal places; infinity is `never`.
 pub fn format_median(value: Option<Median>, digits: usize) -> String {
     let text = |value: f64| if value.is_finite() { format!("{value:.digits$}") } else { "never".to_string() };
-    value.map_or("-".to_string(), |of| format!("{} ({} to {})", text(of.median), text(of.low), text(of.high)))
+    value.map_or("-".to_string(), |value| {
+        format!("{} ({} to {})", text(value.median), text(value.low), text(value.high))
+    })
 }
 
 /// Merges the results of several calls, each of which is the text that a call with `--json` printed.
@@ -298,22 +300,22 @@
                     | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
         .to_string();
     for row in rows {
-        let of = |of: &dyn Fn(&RunMeasurement) -> f64, digits| format_median(row.median(of), digits);
+        let cell = |value: &dyn Fn(&RunMeasurement) -> f64, digits| format_median(row.median(value), digits);
         text += &format!(
             "| {} | {}{} | {} | {} | {} | {} | {} | {} | {} | {} | {}; {} |\n",
             row.case,
             row.measurements.len(),
             if row.void > 0 { format!(", {} void", row.void) } else { String::new() },
             format_median(row.full_service_after(), 2),
-            of(&|of| of.served, 3),
-            of(&|of| of.discovery_calls as f64, 0),
-            of(&|of| of.connections as f64, 0),
-            of(&|of| of.attempts as f64, 0),
-            of(&|of| of.rejected as f64, 0),
-            of(&|of| of.lost as f64, 0),
-            of(&|of| of.slow_start_ratio, 2),
-            of(&|of| of.p50_ms, 1),
-            of(&|of| of.p99_ms, 1),
+            cell(&|run| run.served, 3),
+            cell(&|run| run.discovery_calls as f64, 0),
+            cell(&|run| run.connections as f64, 0),
+            cell(&|run| run.attempts as f64, 0),
+            cell(&|run| run.rejected as f64, 0),
+            cell(&|run| run.lost as f64, 0),
+            cell(&|run| run.slow_start_ratio, 2),
+            cell(&|run| run.p50_ms, 1),
+            cell(&|run| run.p99_ms, 1),
         );
     }
     text
