--- a/crates/process-tests/src/bin/planted.rs
+++ b/crates/process-tests/src/bin/mutant.rs
@@ -1,5 +1,6 @@
-//! A balancer that is wrong in one way, so that a checker can be shown to find it: the balancer's own library in a world that
-//! sees its connections from outside. It is never part of the program, and nothing in the program knows of it.
+//! A balancer with one deliberate fault, which shows that a checker finds that fault. It runs the balancer's
+//! own library on a runtime that changes what passes its connections. It is a separate program: the balancer
+//! contains no code for it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Arguments as Line;
@@ -25,123 +26,132 @@
 use serde_json::Value;
 use tokio::sync::watch;
 
-macro_rules! plants {
+/// Defines the mutants and the names by which `--mutant` selects them.
+macro_rules! mutants {
     ($($name:ident $text:literal,)*) => {
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-        enum Plant { $($name),* }
+        enum Mutant { $($name),* }
 
-        impl Plant {
-            fn of(text: &str) -> Option<Plant> {
-                match text { $($text => Some(Plant::$name),)* _ => None }
+        impl Mutant {
+            fn parse(text: &str) -> Option<Mutant> {
+                match text { $($text => Some(Mutant::$name),)* _ => None }
             }
         }
     };
 }
 
-plants! {
+mutants! {
     None "none",
-    Twice "twice",
-    TokenLate "token-late",
-    AfterAnswer "after-answer",
-    TooMany "too-many",
-    Altered "altered",
-    NoAnswer "no-answer",
-    SecondAnswer "second-answer",
-    OtherAnswer "other-answer",
-    NackAfterRun "nack-after-run",
-    Turned "turned-away",
-    AfterDrain "after-drain",
-    AfterBan "after-ban",
-    ColdFlood "cold-flood",
-    ListLoop "list-loop",
+    DuplicateNonIdempotent "twice",
+    RetryAfterDedupWindow "token-late",
+    SendAfterResponse "after-answer",
+    ExceedAttemptLimit "too-many",
+    AlterBody "altered",
+    OmitResponse "no-answer",
+    DuplicateResponse "second-answer",
+    ReturnPreviousResponse "other-answer",
+    RejectAfterRun "nack-after-run",
+    ChangeStatusToConflict "turned-away",
+    SendToDraining "after-drain",
+    SendToManuallyEjected "after-ban",
+    OverloadWarmingEndpoint "cold-flood",
+    PollTooOften "list-loop",
     Crash "crash",
-    Stays "stays",
-    Stuck "stuck",
-    Deaf "deaf",
+    IgnoreTermination "stays",
+    RejectAll "stuck",
+    IgnoreEndpointList "deaf",
 }
 
-/// A balancer that is wrong in one way.
+/// A balancer with one deliberate fault.
 #[derive(FromArgs)]
 struct Arguments {
-    /// in which way
+    /// the name of the fault; none for a correct balancer
     #[argh(option)]
-    plant: String,
-    /// what the program would be called with
+    mutant: String,
+    /// the arguments that doorproxy would get
     #[argh(positional, greedy)]
     rest: Vec<String>,
 }
 
-/// What the plant knows of the endpoints, from a list of its own.
+/// The endpoints as the mutant itself knows them, from its own calls of discovery.
 #[derive(Clone, Default)]
 struct ObservedEndpoints {
     addresses: BTreeMap<String, SocketAddr>,
     draining: BTreeSet<String>,
     warming: BTreeSet<String>,
-    /// What is out by hand, as the folder says.
+    /// The manually ejected endpoints, read from the files in the state directory.
     manually_ejected: BTreeSet<String>,
 }
 
+/// The state that all connections of a mutant share.
 struct MutantState {
-    mutant: Plant,
+    mutant: Mutant,
     endpoints: Mutex<ObservedEndpoints>,
     attempt_count: AtomicU64,
     response_count: AtomicU64,
     last_response: Mutex<Vec<u8>>,
 }
 
+/// The system runtime, whose streams pass through the mutant.
 #[derive(Clone)]
 struct MutantRuntime {
     sockets: SystemRuntime,
     mutant: Arc<MutantState>,
 }
 
-fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    of.lock().expect("no panic while it is held")
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().expect("no panic while it is locked")
 }
 
+/// Sends a request from a connection of its own, which the balancer does not know of.
 fn send_copy_later(after: Duration, to: SocketAddr, bytes: Vec<u8>) {
     thread::spawn(move || {
         thread::sleep(after);
         if let Ok(mut stream) = TcpStream::connect(to) {
             let _ = stream.write_all(&bytes);
-            // The endpoint reads all of it before it sees the end.
+            // The endpoint gets the time to read the whole request before the connection is closed.
             thread::sleep(Duration::from_millis(500));
         }
     });
 }
 
 impl MutantState {
-    /// An attempt was written.
+    /// Handles an attempt that the balancer has written, and sends the additional attempts of the mutant.
     fn on_sent(&self, to: SocketAddr, bytes: &[u8]) {
         let text = String::from_utf8_lossy(bytes);
-        let is = |kind: &str| text.contains(&format!("/api/{kind}?"));
-        if !(is("look") || is("top") || is("buy")) {
+        let is_kind = |kind: &str| text.contains(&format!("/api/{kind}?"));
+        if !(is_kind("look") || is_kind("top") || is_kind("buy")) {
             return;
         }
         let count = self.attempt_count.fetch_add(1, Ordering::Relaxed);
-        let listed = lock(&self.endpoints).clone();
-        let other = || listed.addresses.values().copied().find(|address| *address != to).unwrap_or(to);
-        let named =
-            |names: &BTreeSet<String>| names.iter().find_map(|name| listed.addresses.get(name)).copied();
+        let endpoints = lock(&self.endpoints).clone();
+        let other_endpoint =
+            || endpoints.addresses.values().copied().find(|address| *address != to).unwrap_or(to);
+        let first_of =
+            |names: &BTreeSet<String>| names.iter().find_map(|name| endpoints.addresses.get(name)).copied();
         let send =
             |after: u64, to: SocketAddr| send_copy_later(Duration::from_millis(after), to, bytes.to_vec());
         match self.mutant {
-            Plant::Twice if is("buy") && count.is_multiple_of(3) => send(30, other()),
-            Plant::TokenLate if is("top") && count.is_multiple_of(5) => send(5500, to),
-            Plant::AfterAnswer if is("look") && count.is_multiple_of(9) => send(4500, to),
-            Plant::TooMany if is("look") && count.is_multiple_of(9) => (0..5).for_each(|n| send(n, other())),
-            Plant::AfterDrain if is("look") => {
-                if let Some(to) = named(&listed.draining) {
+            Mutant::DuplicateNonIdempotent if is_kind("buy") && count.is_multiple_of(3) => {
+                send(30, other_endpoint())
+            }
+            Mutant::RetryAfterDedupWindow if is_kind("top") && count.is_multiple_of(5) => send(5500, to),
+            Mutant::SendAfterResponse if is_kind("look") && count.is_multiple_of(9) => send(4500, to),
+            Mutant::ExceedAttemptLimit if is_kind("look") && count.is_multiple_of(9) => {
+                (0..5).for_each(|n| send(n, other_endpoint()))
+            }
+            Mutant::SendToDraining if is_kind("look") => {
+                if let Some(to) = first_of(&endpoints.draining) {
                     send(3000, to);
                 }
             }
-            Plant::AfterBan if is("look") => {
-                if let Some(to) = named(&listed.manually_ejected) {
+            Mutant::SendToManuallyEjected if is_kind("look") => {
+                if let Some(to) = first_of(&endpoints.manually_ejected) {
                     send(3000, to);
                 }
             }
-            Plant::ColdFlood if is("look") => {
-                if let Some(to) = named(&listed.warming) {
+            Mutant::OverloadWarmingEndpoint if is_kind("look") => {
+                if let Some(to) = first_of(&endpoints.warming) {
                     (0..8).for_each(|_| send(0, to));
                 }
             }
@@ -149,32 +159,33 @@
         }
     }
 
-    /// What is to be written in place of these bytes.
+    /// Returns the bytes to write in place of these, if the mutant changes them; an empty replacement drops
+    /// them.
     fn replacement_for(&self, to_client: bool, bytes: &[u8]) -> Option<Vec<u8>> {
         if !to_client {
             let text = String::from_utf8_lossy(bytes);
-            let is_altered = self.mutant == Plant::Altered && text.contains("/api/top?");
+            let is_altered = self.mutant == Mutant::AlterBody && text.contains("/api/top?");
             return is_altered.then(|| text.replacen("the body", "The body", 1).into_bytes());
         }
-        if !bytes.starts_with(b"HTTP/1.1 ") || bytes.windows(6).any(|of| of == b"ready\n") {
+        if !bytes.starts_with(b"HTTP/1.1 ") || bytes.windows(6).any(|window| window == b"ready\n") {
             return None;
         }
         let is_served = bytes.starts_with(b"HTTP/1.1 200") && bytes.len() > 60;
         let count = self.response_count.fetch_add(1, Ordering::Relaxed);
         match self.mutant {
-            Plant::NoAnswer if is_served && count.is_multiple_of(19) => Some(Vec::new()),
-            Plant::SecondAnswer if is_served && count.is_multiple_of(9) => Some(bytes.repeat(2)),
-            Plant::OtherAnswer if is_served => {
+            Mutant::OmitResponse if is_served && count.is_multiple_of(19) => Some(Vec::new()),
+            Mutant::DuplicateResponse if is_served && count.is_multiple_of(9) => Some(bytes.repeat(2)),
+            Mutant::ReturnPreviousResponse if is_served => {
                 let last = std::mem::replace(&mut *lock(&self.last_response), bytes.to_vec());
                 (last.len() == bytes.len() && count.is_multiple_of(7)).then_some(last)
             }
-            Plant::Turned if is_served && count.is_multiple_of(9) => {
+            Mutant::ChangeStatusToConflict if is_served && count.is_multiple_of(9) => {
                 Some(String::from_utf8_lossy(bytes).replacen("200 OK", "409 Conflict", 1).into_bytes())
             }
-            Plant::NackAfterRun if bytes.starts_with(b"HTTP/1.1 502") => {
+            Mutant::RejectAfterRun if bytes.starts_with(b"HTTP/1.1 502") => {
                 Some(String::from_utf8_lossy(bytes).replacen("502", "503", 1).into_bytes())
             }
-            Plant::Stuck if is_served && count > 100 => {
+            Mutant::RejectAll if is_served && count > 100 => {
                 Some(String::from_utf8_lossy(bytes).replacen("200 OK", "503 Not", 1).into_bytes())
             }
             _ => None,
@@ -182,53 +193,59 @@
     }
 }
 
-/// Asks the list four times a second: the plant's own knowledge.
-fn poll_endpoints(inner: Arc<MutantState>, list: SocketAddr, folder: PathBuf, warm: Duration) {
+/// Keeps the mutant's own view of the endpoints current: calls discovery four times a second, and the mutant
+/// that polls too often a hundred times.
+fn poll_endpoints(
+    state: Arc<MutantState>,
+    discovery: SocketAddr,
+    directory: PathBuf,
+    warm_up_time: Duration,
+) {
     let mut pause = Duration::from_millis(250);
-    if inner.mutant == Plant::ListLoop {
+    if state.mutant == Mutant::PollTooOften {
         pause = Duration::from_millis(10);
     }
     loop {
-        if let Some(told) = fetch_endpoints(list) {
+        if let Some(list) = fetch_endpoints(discovery) {
             let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-            let mut listed = ObservedEndpoints::default();
-            for line in told["servers"].as_array().into_iter().flatten() {
-                let name = line["id"].as_str().unwrap_or_default().to_string();
-                let Some(address) = line["addr"].as_str().and_then(|text| text.parse().ok()) else {
+            let mut endpoints = ObservedEndpoints::default();
+            for entry in list["servers"].as_array().into_iter().flatten() {
+                let name = entry["id"].as_str().unwrap_or_default().to_string();
+                let Some(address) = entry["addr"].as_str().and_then(|text| text.parse().ok()) else {
                     continue;
                 };
-                if line["state"] != "active" {
-                    listed.draining.insert(name.clone());
+                if entry["state"] != "active" {
+                    endpoints.draining.insert(name.clone());
                 }
-                let started = line["started_ms"].as_u64().unwrap_or(0);
-                if started > 0 && now < started + warm.as_millis() as u64 {
-                    listed.warming.insert(name.clone());
+                let started = entry["started_ms"].as_u64().unwrap_or(0);
+                if started > 0 && now < started + warm_up_time.as_millis() as u64 {
+                    endpoints.warming.insert(name.clone());
                 }
-                listed.addresses.insert(name, address);
+                endpoints.addresses.insert(name, address);
             }
-            for entry in std::fs::read_dir(&folder).into_iter().flatten().flatten() {
-                let text = std::fs::read_to_string(entry.path()).unwrap_or_default();
+            for file in std::fs::read_dir(&directory).into_iter().flatten().flatten() {
+                let text = std::fs::read_to_string(file.path()).unwrap_or_default();
                 let names = text.lines().filter_map(|line| line.strip_prefix("out ")?.split(' ').next());
-                listed.manually_ejected.extend(names.map(str::to_string));
+                endpoints.manually_ejected.extend(names.map(str::to_string));
             }
-            *lock(&inner.endpoints) = listed;
+            *lock(&state.endpoints) = endpoints;
         }
         thread::sleep(pause);
     }
 }
 
-fn fetch_endpoints(list: SocketAddr) -> Option<Value> {
+fn fetch_endpoints(discovery: SocketAddr) -> Option<Value> {
     use std::io::Read as _;
-    let mut stream = TcpStream::connect_timeout(&list, Duration::from_millis(500)).ok()?;
+    let mut stream = TcpStream::connect_timeout(&discovery, Duration::from_millis(500)).ok()?;
     stream.set_read_timeout(Some(Duration::from_millis(500))).ok()?;
     stream.write_all(b"GET /api/targets HTTP/1.1\r\nHost: l\r\n\r\n").ok()?;
     let (mut text, mut bytes) = (Vec::new(), [0; 4096]);
     loop {
         let read = stream.read(&mut bytes).ok()?;
         text.extend_from_slice(&bytes[..read]);
-        let head = text.windows(4).position(|of| of == b"\r\n\r\n");
-        if let Some(told) = head.and_then(|head| serde_json::from_slice(&text[head + 4..]).ok()) {
-            return Some(told);
+        let head = text.windows(4).position(|window| window == b"\r\n\r\n");
+        if let Some(list) = head.and_then(|head| serde_json::from_slice(&text[head + 4..]).ok()) {
+            return Some(list);
         }
         if read == 0 {
             return None;
@@ -264,19 +281,19 @@
 
 struct MutantStream {
     stream: <SystemRuntime as Runtime>::Stream,
-    /// None: a client's.
+    /// The endpoint that the stream is connected to; none for a client's connection.
     upstream_address: Option<SocketAddr>,
     mutant: Arc<MutantState>,
 }
 
 impl MutantStream {
-    /// Whether the plant has written something else in place of this.
+    /// Writes the mutant's replacement of these bytes; returns false if there is none.
     fn send_replacement(&self, bytes: &[u8]) -> bool {
-        let Some(other) = self.mutant.replacement_for(self.upstream_address.is_none(), bytes) else {
+        let Some(replacement) = self.mutant.replacement_for(self.upstream_address.is_none(), bytes) else {
             return false;
         };
-        if !other.is_empty() {
-            let _ = self.stream.try_send(&other);
+        if !replacement.is_empty() {
+            let _ = self.stream.try_send(&replacement);
         }
         true
     }
@@ -284,13 +301,13 @@
     fn send_or_replace(
         &self,
         bytes: &[IoSlice],
-        put: impl FnOnce() -> Poll<io::Result<usize>>,
+        write: impl FnOnce() -> Poll<io::Result<usize>>,
     ) -> Poll<io::Result<usize>> {
         let whole: Vec<u8> = bytes.iter().flat_map(|piece| piece.iter().copied()).collect();
         if !whole.is_empty() && self.send_replacement(&whole) {
             return Poll::Ready(Ok(whole.len()));
         }
-        let written = put();
+        let written = write();
         if let (Poll::Ready(Ok(written)), Some(to)) = (&written, self.upstream_address) {
             self.mutant.on_sent(to, &whole[..*written]);
         }
@@ -386,8 +403,8 @@
     }
 
     fn listen(&self, at: SocketAddr, send_buffer: u32, backlog: u32) -> io::Result<MutantListener> {
-        let listening = self.sockets.listen(at, send_buffer, backlog)?;
-        Ok(MutantListener { listener: listening, mutant: self.mutant.clone() })
+        let listener = self.sockets.listen(at, send_buffer, backlog)?;
+        Ok(MutantListener { listener, mutant: self.mutant.clone() })
     }
 
     fn log(&self, line: Line) {
@@ -395,25 +412,26 @@
     }
 }
 
-fn serve(call: &Arguments) -> Result<(), String> {
-    let plant = Plant::of(&call.plant).ok_or_else(|| format!("no plant is called {:?}", call.plant))?;
-    let config = call.rest.last().map(PathBuf::from);
+fn serve(arguments: &Arguments) -> Result<(), String> {
+    let mutant = Mutant::parse(&arguments.mutant)
+        .ok_or_else(|| format!("--mutant: {:?} is not the name of a mutant", arguments.mutant))?;
+    let config = arguments.rest.last().map(PathBuf::from);
     let path = config::resolve_path(config).map_err(|error| error.to_string())?;
-    let given = config::load(&path).map_err(|error| error.to_string())?;
-    let inner = MutantState {
-        mutant: plant,
+    let config = config::load(&path).map_err(|error| error.to_string())?;
+    let state = MutantState {
+        mutant,
         endpoints: Mutex::default(),
         attempt_count: AtomicU64::new(0),
         response_count: AtomicU64::new(0),
         last_response: Mutex::default(),
     };
-    let inner = Arc::new(inner);
-    if plant != Plant::None {
-        let (inner, list, folder) = (inner.clone(), given.discovery_address, std::env::temp_dir());
-        let warm = Duration::from_secs_f64(given.settings.slow_start.warm_up_time.as_secs_f64());
-        thread::spawn(move || poll_endpoints(inner, list, folder, warm));
+    let state = Arc::new(state);
+    if mutant != Mutant::None {
+        let (state, discovery, directory) = (state.clone(), config.discovery_address, std::env::temp_dir());
+        let warm_up_time = Duration::from_secs_f64(config.settings.slow_start.warm_up_time.as_secs_f64());
+        thread::spawn(move || poll_endpoints(state, discovery, directory, warm_up_time));
     }
-    if plant == Plant::Crash {
+    if mutant == Mutant::Crash {
         thread::spawn(|| {
             thread::sleep(Duration::from_secs(2));
             std::process::exit(101);
@@ -422,38 +440,43 @@
     let sockets = SystemRuntime::start();
     let runtime = sockets.tokio_runtime().map_err(|error| error.to_string())?;
     runtime.block_on(async move {
-        let mut asked = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
+        let mut terminate = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
             .map_err(|error| error.to_string())?;
-        let world = MutantRuntime { sockets, mutant: inner };
-        // A port on which nobody listens: it never hears of a list but that which it was given.
-        let nobody = SocketAddr::from(([127, 0, 0, 1], 1));
-        let (_source, of_list) =
-            watch::channel(if plant == Plant::Deaf { nobody } else { given.discovery_address });
-        let parts = assembly::assemble(&world, &given);
-        if let Some(at) = given.admin_address {
-            let operators = parts
-                .admin_api(&world, Arc::new(FileStore::for_balancer(&std::env::temp_dir(), &given.name)));
-            let listener =
-                world.listen(at, 128 << 10, 64).map_err(|error| format!("control {at}: {error}"))?;
-            tokio::spawn(admin::serve(listener, operators));
+        let runtime = MutantRuntime { sockets, mutant: state };
+        // Nothing listens on this port, so the mutant keeps the endpoint list of its configuration.
+        let unreachable = SocketAddr::from(([127, 0, 0, 1], 1));
+        let (_sender, discovery_address) = watch::channel(if mutant == Mutant::IgnoreEndpointList {
+            unreachable
+        } else {
+            config.discovery_address
+        });
+        let parts = assembly::assemble(&runtime, &config);
+        if let Some(address) = config.admin_address {
+            let overrides = FileStore::for_balancer(&std::env::temp_dir(), &config.name);
+            let admin_api = parts.admin_api(&runtime, Arc::new(overrides));
+            let listener = runtime
+                .listen(address, 128 << 10, 64)
+                .map_err(|error| format!("control {address}: {error}"))?;
+            tokio::spawn(admin::serve(listener, admin_api));
         }
-        let ask = async move {
-            asked.recv().await;
-            if plant == Plant::Stays {
+        let shutdown = async move {
+            terminate.recv().await;
+            if mutant == Mutant::IgnoreTermination {
                 std::future::pending().await
             }
         };
-        let served = assembly::serve(world, parts, given, of_list, None, Ticks(30_000), ask).await;
-        served.map_err(|error| error.to_string())
+        let result =
+            assembly::serve(runtime, parts, config, discovery_address, None, Ticks(30_000), shutdown).await;
+        result.map_err(|error| error.to_string())
     })
 }
 
 fn main() -> ExitCode {
-    let call: Arguments = argh::from_env();
-    match serve(&call) {
+    let arguments: Arguments = argh::from_env();
+    match serve(&arguments) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("doorproxy-planted: {fault}");
+        Err(error) => {
+            eprintln!("doorproxy-mutant: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/process-tests/src/quota_measurement/tests.rs
+++ b/crates/process-tests/src/quota_measurement/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of [`super`].
+//! Tests of the scenarios of the cases.
 
 use super::*;
 
 #[test]
 fn each_case_is_a_valid_scenario() {
     for case in CASES {
-        let script = case.scenario(3);
-        assert_eq!(Scenario::parse(&script.to_toml()).as_ref(), Ok(&script), "{}", case.name);
+        let scenario = case.scenario(3);
+        assert_eq!(Scenario::parse(&scenario.to_toml()).as_ref(), Ok(&scenario), "{}", case.name);
     }
 }
