--- a/crates/balancer/src/config/error.rs
+++ b/crates/balancer/src/config/error.rs
@@ -44,7 +44,7 @@
         found: usize,
     },
     /// A setting is missing or malformed.
-    #[error("settings: expected {0}")]
+    #[error("settings: {0}")]
     Settings(#[from] SettingsError),
     /// Load reports come from probes, which are disabled.
     #[error("settings: limits.probes is false; expected true, since report.source is \"probe\"")]
--- a/crates/cli/tests/configuration.rs
+++ b/crates/cli/tests/configuration.rs
@@ -87,16 +87,16 @@
         Some(1) invalid socket address syntax at line 1 column 114
         Some(1) seed: "seven" is not a 64-bit hexadecimal number
         Some(1) limits.sockets: 8 is too few; expected 64 or more
-        Some(1) settings: expected a known value for categories.0.semantics, not "sometimes"
-        Some(1) settings: expected a valid value for obligations.cold, not "null"
+        Some(1) settings: categories.0.semantics: "sometimes" is not a known value
+        Some(1) settings: obligations.cold: "null" is not valid
         Some(1) missing field `addr` at line 1 column 69
-        Some(1) settings: expected a known value for report.source, not "guesses"
-        Some(1) settings: expected limits.probes to be set
+        Some(1) settings: report.source: "guesses" is not a known value
+        Some(1) settings: limits.probes is missing
         Some(1) settings: limits.probes is false; expected true, since report.source is "probe"
-        Some(1) settings: expected az to be less than 1, not 1
-        Some(1) settings: expected prices.probe to be a number of at least 0, not -0.5
-        Some(1) settings: expected a valid value for prices.connection, not "free"
-        Some(1) settings: expected categories.0.overdue_benefit to be at most 1, not 1.5
+        Some(1) settings: az: 1 is out of range; expected less than 1
+        Some(1) settings: prices.probe: -0.5 is negative; expected a number of at least 0
+        Some(1) settings: prices.connection: "free" is not valid
+        Some(1) settings: categories.0.overdue_benefit: 1.5 is out of range; expected at most 1
     "#]]
     .assert_eq(&report);
 }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -9,15 +9,15 @@
 #[derive(Debug, Error)]
 pub enum WireError {
     /// The bytes of a batch are not what the wire page says.
-    #[error("batch {batch}, byte {byte}: expected {expected}")]
+    #[error("batch {batch}, byte {byte}: {error}")]
     Malformed {
         /// The number that the simulator gave to the batch; 0 until it has been read.
         batch: u32,
         /// Offset in the frame.
         byte: usize,
-        /// What would be right there.
+        /// The error at that offset.
         #[source]
-        expected: Expected,
+        error: FrameError,
     },
     /// Standard input failed.
     #[error("standard input could not be read: {0}")]
@@ -32,51 +32,51 @@
     },
 }
 
-/// What would be right at the place of a fault.
+/// States what is wrong at an offset of a frame.
 #[derive(Debug, Error)]
-pub enum Expected {
-    /// More bytes than the frame has left.
-    #[error("{field} of {length} bytes")]
-    Field {
+pub enum FrameError {
+    /// The frame has fewer bytes left than the field needs.
+    #[error("expected {field} of {length} bytes")]
+    Truncated {
         /// The field, with its article.
         field: &'static str,
         /// Its length in bytes.
         length: usize,
     },
-    /// A number in place of an infinity or NaN.
-    #[error("a finite {0}")]
-    Finite(&'static str),
-    /// One of the values that the protocol defines, or that were set before.
-    #[error("{valid} before here, not {found}")]
-    Valid {
+    /// A number is infinite or NaN.
+    #[error("expected a finite {0}")]
+    NotFinite(&'static str),
+    /// A value is neither defined by the protocol nor set before.
+    #[error("expected {valid} before here, not {found}")]
+    InvalidValue {
         /// What a valid value is.
         valid: &'static str,
-        /// The value that came.
+        /// The value that was received.
         found: u64,
     },
-    /// A smaller slot of an endpoint list.
-    #[error("a list number under {slots} before here, not {found}")]
-    ListNumber {
-        /// How many slots there are.
+    /// The slot of an endpoint list is out of range.
+    #[error("expected a list number under {slots} before here, not {found}")]
+    ListOutOfRange {
+        /// The number of slots.
         slots: u32,
-        /// The number that came.
+        /// The number that was received.
         found: u32,
     },
-    /// A class that the instance's settings define.
-    #[error("a request class of the settings before here")]
-    KnownClass,
-    /// A length that the header of the batch fits into.
-    #[error("a length of {min} or more, not {found}")]
-    FrameLength {
+    /// The settings of the instance do not define the request class.
+    #[error("expected a request class of the settings before here")]
+    UnknownClass,
+    /// The length is less than that of the batch header.
+    #[error("expected a length of {min} or more, not {found}")]
+    LengthTooSmall {
         /// The length of the header in bytes.
         min: usize,
-        /// The length that came.
+        /// The length that was received.
         found: usize,
     },
-    /// No byte after the last record.
-    #[error("the end of the frame")]
-    EndOfFrame,
-    /// Settings that can be decoded.
+    /// There are bytes after the last record.
+    #[error("expected the end of the frame")]
+    TrailingBytes,
+    /// The settings cannot be decoded.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -8,7 +8,7 @@
 use doorproxy::policy::Balancer;
 
 use crate::effects::WireEffects;
-use crate::error::{Expected, WireError};
+use crate::error::{FrameError, WireError};
 use crate::records;
 use crate::wire::{BatchReader, ReplyFrame, discovery_scope, incoming, outgoing};
 
@@ -99,7 +99,7 @@
     fn handle_request(&mut self, reader: &mut BatchReader) -> Result<(), WireError> {
         let request = records::decode_request(reader)?;
         if !self.balancer.settings.has_class(request.class) {
-            return Err(reader.error(Expected::KnownClass));
+            return Err(reader.error(FrameError::UnknownClass));
         }
         self.call(|balancer, now| balancer.on_request(now, request));
         Ok(())
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -11,7 +11,7 @@
 use doorproxy::settings::decode;
 
 use crate::effects::WireEffects;
-use crate::error::{Expected, WireError};
+use crate::error::{FrameError, WireError};
 use crate::instance::{Instance, catch_crash};
 use crate::records;
 use crate::wire::{
@@ -58,15 +58,15 @@
     let batch = header.u32("the number of the batch")?;
     let length = header.u32("the length of the frame")? as usize;
     if length < BATCH_HEADER_BYTES {
-        let expected = Expected::FrameLength { min: BATCH_HEADER_BYTES, found: length };
-        return Err(WireError::Malformed { batch, byte: size_of::<u32>(), expected });
+        let error = FrameError::LengthTooSmall { min: BATCH_HEADER_BYTES, found: length };
+        return Err(WireError::Malformed { batch, byte: size_of::<u32>(), error });
     }
     // Grows with what arrives: a corrupted length must not reserve gigabytes.
     let body_length = (length - FRAME_HEADER_BYTES) as u64;
     input.take(body_length).read_to_end(frame).map_err(WireError::Read)?;
     if frame.len() < length {
-        let expected = Expected::Field { field: "a frame", length };
-        return Err(WireError::Malformed { batch, byte: frame.len(), expected });
+        let error = FrameError::Truncated { field: "a frame", length };
+        return Err(WireError::Malformed { batch, byte: frame.len(), error });
     }
     Ok(true)
 }
@@ -83,7 +83,7 @@
             self.handle_record(&mut reader, now)?;
         }
         if !reader.is_at_end() {
-            return Err(reader.error(Expected::EndOfFrame));
+            return Err(reader.error(FrameError::TrailingBytes));
         }
         Ok(batch)
     }
@@ -130,7 +130,9 @@
     fn set_endpoint_list(&mut self, reader: &mut BatchReader) -> Result<(), WireError> {
         let number = reader.u32("the number of a list")?;
         if number >= ENDPOINT_LIST_SLOTS {
-            return Err(reader.error(Expected::ListNumber { slots: ENDPOINT_LIST_SLOTS, found: number }));
+            return Err(
+                reader.error(FrameError::ListOutOfRange { slots: ENDPOINT_LIST_SLOTS, found: number })
+            );
         }
         let count = reader.u32("the length of a list")?;
         let updates =
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,7 +1,7 @@
 //! The frames of the simulator's wire: their codes, checked reads of a batch, and the reply frame. Numbers are
 //! big-endian.
 
-use crate::error::{Expected, WireError};
+use crate::error::{FrameError, WireError};
 
 /// The number and the length of a frame stand before everything else, in a batch and in a reply.
 pub const FRAME_HEADER_BYTES: usize = 8;
@@ -92,14 +92,14 @@
         BatchReader { bytes, position, batch }
     }
 
-    /// A fault at the current position.
-    pub fn error(&self, expected: impl Into<Expected>) -> WireError {
-        WireError::Malformed { batch: self.batch, byte: self.position, expected: expected.into() }
+    /// Returns an error at the current position.
+    pub fn error(&self, error: impl Into<FrameError>) -> WireError {
+        WireError::Malformed { batch: self.batch, byte: self.position, error: error.into() }
     }
 
     /// A field that was read just now has a value that is not valid.
     pub fn invalid(&self, valid: &'static str, found: impl Into<u64>) -> WireError {
-        self.error(Expected::Valid { valid, found: found.into() })
+        self.error(FrameError::InvalidValue { valid, found: found.into() })
     }
 
     /// Whether the whole frame has been read.
@@ -110,7 +110,7 @@
     /// The next bytes, as they are.
     pub fn take_bytes(&mut self, length: usize, field: &'static str) -> Result<&'a [u8], WireError> {
         let end = self.position.checked_add(length).filter(|&end| end <= self.bytes.len());
-        let end = end.ok_or_else(|| self.error(Expected::Field { field, length }))?;
+        let end = end.ok_or_else(|| self.error(FrameError::Truncated { field, length }))?;
         let taken = &self.bytes[self.position..end];
         self.position = end;
         Ok(taken)
@@ -160,7 +160,7 @@
     }
 
     fn finite(&self, value: f64, field: &'static str) -> Result<f64, WireError> {
-        if value.is_finite() { Ok(value) } else { Err(self.error(Expected::Finite(field))) }
+        if value.is_finite() { Ok(value) } else { Err(self.error(FrameError::NotFinite(field))) }
     }
 }
 
--- a/crates/simulator-adapter/tests/frames.rs
+++ b/crates/simulator-adapter/tests/frames.rs
@@ -101,8 +101,8 @@
         exit 1 doorproxy-drill: batch 2, byte 21: expected a known code before here, not 99
         exit 1 doorproxy-drill: batch 3, byte 25: expected an instance that has started before here, not 4
         exit 1 doorproxy-drill: batch 4, byte 476: expected a list that was set before here, not 2
-        exit 1 doorproxy-drill: batch 5, byte 438: expected limits.max_pushes to be set
-        exit 1 doorproxy-drill: batch 6, byte 461: expected a valid value for n_instances, not "many"
+        exit 1 doorproxy-drill: batch 5, byte 438: limits.max_pushes is missing
+        exit 1 doorproxy-drill: batch 6, byte 461: n_instances: "many" is not valid
     "#]]
     .assert_eq(&output.concat());
 }
--- a/src/settings/decode.rs
+++ b/src/settings/decode.rs
@@ -10,14 +10,14 @@
 use super::{DedupScope, Idempotency, RequestClass, Settings, SlowStart};
 use crate::ids::{Ticks, ZoneId};
 
-/// What was expected in settings that cannot be decoded.
+/// States why settings cannot be decoded. Each text is a complete clause that names the setting first.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SettingsError {
     /// A required setting is missing.
-    #[error("{0} to be set")]
+    #[error("{0} is missing")]
     Missing(String),
     /// The value of a setting cannot be parsed.
-    #[error("a valid value for {path}, not {value:?}")]
+    #[error("{path}: {value:?} is not valid")]
     Unreadable {
         /// The path of the setting.
         path: String,
@@ -25,7 +25,10 @@
         value: String,
     },
     /// A number is negative or not finite.
-    #[error("{path} to be a number of at least 0, not {value}")]
+    #[error(
+        "{path}: {value} is {}; expected a number of at least 0",
+        if *.value < 0.0 { "negative" } else { "not finite" }
+    )]
     Negative {
         /// The path of the setting.
         path: String,
@@ -33,7 +36,7 @@
         value: f64,
     },
     /// A ratio is greater than 1.
-    #[error("{path} to be at most 1, not {value}")]
+    #[error("{path}: {value} is out of range; expected at most 1")]
     OverOne {
         /// The path of the setting.
         path: String,
@@ -41,7 +44,7 @@
         value: f64,
     },
     /// The balancer's own zone is not one of the configured zones.
-    #[error("az to be less than {zone_count}, not {zone}")]
+    #[error("az: {zone} is out of range; expected less than {zone_count}")]
     UnknownZone {
         /// The index of the zone.
         zone: u16,
@@ -49,7 +52,7 @@
         zone_count: usize,
     },
     /// A setting has a value that this version does not support.
-    #[error("a known value for {path}, not {value:?}")]
+    #[error("{path}: {value:?} is not a known value")]
     UnknownValue {
         /// The path of the setting.
         path: String,
@@ -57,10 +60,10 @@
         value: String,
     },
     /// A line is not a path=value pair.
-    #[error("a line of the form path=value, not {0:?}")]
+    #[error("line {0:?} is malformed; expected path=value")]
     MalformedLine(String),
     /// The input is not UTF-8.
-    #[error("settings encoded in UTF-8")]
+    #[error("settings are not valid UTF-8")]
     NotUtf8,
 }
 
