--- a/crates/balancer/src/http/body.rs
+++ b/crates/balancer/src/http/body.rs
@@ -12,10 +12,10 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum BodyError {
     /// The body is longer than allowed.
-    #[error("the body is too large")]
+    #[error("too large")]
     TooLarge,
     /// The connection broke before the last byte of the body.
-    #[error("the body broke off")]
+    #[error("incomplete")]
     Incomplete,
 }
 
--- a/crates/balancer/src/http/framing.rs
+++ b/crates/balancer/src/http/framing.rs
@@ -12,25 +12,27 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum ClientError {
     /// The head is longer, or has more fields, than allowed.
-    #[error("the head is too large")]
+    #[error(
+        "request head: too large; expected at most {MAX_HEAD_BYTES} bytes and {MAX_HEADER_FIELDS} fields"
+    )]
     HeadTooLarge,
     /// The head is malformed.
-    #[error("this is no HTTP/1.1 head")]
+    #[error("request head: not valid HTTP/1.1")]
     MalformedHead,
     /// The `Transfer-Encoding` is not supported.
-    #[error("a transfer-encoding other than chunked, once")]
+    #[error("transfer-encoding: only a single \"chunked\" is accepted")]
     TransferEncoding,
     /// The `Content-Length` is malformed or repeated.
-    #[error("a content-length other than whole digits, once")]
+    #[error("content-length: only a single whole number is accepted")]
     ContentLength,
     /// The head has both a `Content-Length` and a `Transfer-Encoding`.
-    #[error("both a content-length and a transfer-encoding")]
+    #[error("content-length: not accepted together with transfer-encoding")]
     AmbiguousLength,
     /// The body is longer than [`MAX_STREAMED_BYTES`].
-    #[error("the body is too large")]
+    #[error("request body: longer than {MAX_STREAMED_BYTES} bytes")]
     BodyTooLarge,
     /// The request did not arrive in time.
-    #[error("the op did not come in time")]
+    #[error("request: not received in time")]
     Timeout,
 }
 
--- a/crates/balancer/src/http/request_fields.rs
+++ b/crates/balancer/src/http/request_fields.rs
@@ -23,26 +23,27 @@
 const TICKS_PER_MS: i64 = 10;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// States why a request is not submitted. These are errors of the client, which is not asked to retry.
+/// States why a request is not submitted. These are errors of the client, which is not asked to retry. The text
+/// is the body of the response and names the field first.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub(super) enum RequestError {
-    #[error("no {0}")]
+    #[error("{0}: missing")]
     Missing(HeaderName),
-    #[error("{0} more than once")]
+    #[error("{0}: occurs more than once")]
     Repeated(HeaderName),
-    #[error("{0} in ASCII expected")]
+    #[error("{0}: not ASCII")]
     NotAscii(HeaderName),
-    #[error("unknown {0}")]
+    #[error("{0}: unknown value")]
     Unknown(HeaderName),
-    #[error("{header} of {expected} expected")]
+    #[error("{header}: not a number of {expected}")]
     Malformed { header: HeaderName, expected: &'static str },
-    #[error("a path that begins with / expected, and no CONNECT")]
+    #[error("request target: must be a path that begins with /; CONNECT is not supported")]
     InvalidTarget,
-    #[error("at most {MAX_STREAMED_BYTES} bytes are taken")]
+    #[error("request body: longer than {MAX_STREAMED_BYTES} bytes")]
     BodyTooLarge,
-    #[error("the body broke off")]
+    #[error("request body: incomplete")]
     BodyIncomplete,
-    #[error("an op with this {ID_HEADER} is in hand")]
+    #[error("{ID_HEADER}: a request with this id is in flight")]
     DuplicateId,
 }
 
--- a/crates/sidecar/src/handler.rs
+++ b/crates/sidecar/src/handler.rs
@@ -37,7 +37,7 @@
     Invalid(String),
     #[error("no route matches the request")]
     NoRoute,
-    #[error("{0}")]
+    #[error("request body: {0}")]
     Body(#[from] BodyError),
 }
 
