--- a/crates/balancer/src/recovery.rs
+++ b/crates/balancer/src/recovery.rs
@@ -27,7 +27,7 @@
 /// Reads the clocks of the machine and writes the state directory.
 pub trait StateStore: Send + Sync {
     /// Returns the current time by all clocks.
-    fn moment(&self) -> ClockReading;
+    fn read_clocks(&self) -> ClockReading;
 
     /// Queues a state to be written without waiting. The state may be dropped while another is being written.
     fn save(&self, state: PersistedState);
@@ -108,7 +108,7 @@
         if initial.source == FactSource::Configuration && !list.endpoints.is_empty() {
             // The configured list counts as confirmed at this start. The discovery service may have no newer
             // version to send, and the list would otherwise be stored as never confirmed.
-            inner.confirmed_at = Some(self.store.moment());
+            inner.confirmed_at = Some(self.store.read_clocks());
         }
         dispatcher.restore(now, &transferable_state(&inner.restored, list));
         let change = inner
@@ -124,7 +124,7 @@
     /// is applied.
     pub fn on_endpoint_list<R: Runtime>(&self, runtime: &R, endpoint_count: usize, version: u64) {
         let mut inner = self.inner();
-        inner.confirmed_at = Some(self.store.moment());
+        inner.confirmed_at = Some(self.store.read_clocks());
         inner.list_version = version;
         let change = inner.startup_status.on_discovery_snapshot(runtime.now(), endpoint_count).cloned();
         drop(inner);
@@ -152,7 +152,7 @@
         let endpoints: Vec<PersistedEndpoint> = lock(discovery).entries().map(persisted_from_entry).collect();
         let mut inner = self.inner();
         let change = inner.startup_status.on_evidence(runtime.now(), evidence).cloned();
-        let written_at = self.store.moment();
+        let written_at = self.store.read_clocks();
         let list_confirmed_at = inner.confirmed_at.clone().unwrap_or_else(unknown_time);
         let list_version = inner.list_version;
         drop(inner);
--- a/crates/balancer/src/upstream/attempt_result.rs
+++ b/crates/balancer/src/upstream/attempt_result.rs
@@ -69,7 +69,7 @@
         match self {
             AttemptResult::Succeeded(_) => AttemptOutcome::Succeeded,
             AttemptResult::Overloaded => AttemptOutcome::Overloaded,
-            AttemptResult::ErrorResponse | AttemptResult::ResponseTooLarge => AttemptOutcome::ErrorAnswer,
+            AttemptResult::ErrorResponse | AttemptResult::ResponseTooLarge => AttemptOutcome::ErrorResponse,
             AttemptResult::ConnectFailed => AttemptOutcome::ConnectFailed,
             AttemptResult::ConnectionReset => AttemptOutcome::ConnectionReset,
             AttemptResult::TimedOut => AttemptOutcome::TimedOut,
--- a/crates/cli/src/recovery_state.rs
+++ b/crates/cli/src/recovery_state.rs
@@ -35,7 +35,7 @@
 }
 
 impl StateStore for StateWriter {
-    fn moment(&self) -> ClockReading {
+    fn read_clocks(&self) -> ClockReading {
         read_clocks()
     }
 
--- a/crates/sidecar/src/settings.rs
+++ b/crates/sidecar/src/settings.rs
@@ -74,7 +74,7 @@
         probe_cost_ratio: 0.0,
         zone: None,
         discovery_polled: false,
-        only_draining_binds: false,
+        only_draining_is_binding: false,
         max_poll_interval: Ticks::from_secs_f64(MAX_POLL_INTERVAL_SECONDS),
         slow_start: SlowStart {
             fleet_ratio: 1.0,
--- a/crates/simulation/src/cluster/end_checks.rs
+++ b/crates/simulation/src/cluster/end_checks.rs
@@ -106,10 +106,10 @@
 fn pending_work(balancer: &RunningBalancer) -> Option<Leftover> {
     let counts = balancer.dispatcher.as_ref().map(Dispatcher::pending_counts).unwrap_or_default();
     let index = balancer.index;
-    let PendingCounts { requests, attempts, timers, undecided, .. } = counts;
+    let PendingCounts { requests, attempts, timers, unanswered, .. } = counts;
     (counts != PendingCounts::default()).then(|| Leftover {
         rule: Rule::Leak,
-        numbers: [index, requests, attempts, timers, undecided].map(|count| count as u64).to_vec(),
+        numbers: [index, requests, attempts, timers, unanswered].map(|count| count as u64).to_vec(),
         text: format!("b{index} still holds {counts:?}"),
     })
 }
--- a/crates/simulator-adapter/src/records.rs
+++ b/crates/simulator-adapter/src/records.rs
@@ -85,7 +85,7 @@
 fn decode_outcome(reader: &mut BatchReader) -> Result<AttemptOutcome, WireError> {
     match reader.u16("an outcome")? {
         1 => Ok(AttemptOutcome::Succeeded),
-        2 => Ok(AttemptOutcome::ErrorAnswer),
+        2 => Ok(AttemptOutcome::ErrorResponse),
         3 => Ok(AttemptOutcome::Overloaded),
         4 => Ok(AttemptOutcome::TimedOut),
         5 => Ok(AttemptOutcome::ConnectFailed),
--- a/src/dispatcher.rs
+++ b/src/dispatcher.rs
@@ -134,7 +134,7 @@
     /// Timers that have not fired.
     pub timers: usize,
     /// Requests without a final answer in the balancer's state.
-    pub undecided: usize,
+    pub unanswered: usize,
 }
 
 /// What the endpoints' answers to this balancer have shown.
@@ -353,8 +353,8 @@
 
     /// Returns the counts of the state that is held for unfinished requests.
     pub fn pending_counts(&self) -> PendingCounts {
-        let undecided = lock(&self.balancer).request_count();
-        PendingCounts { undecided, ..lock(&self.mailbox).pending_counts() }
+        let unanswered = lock(&self.balancer).request_count();
+        PendingCounts { unanswered, ..lock(&self.mailbox).pending_counts() }
     }
 
     /// Returns what the endpoints' answers have shown.
--- a/src/dispatcher/mailbox.rs
+++ b/src/dispatcher/mailbox.rs
@@ -196,13 +196,13 @@
         self.load_probe.poll(cx).map(|()| self.load_probes.drain(..).collect())
     }
 
-    /// Counts what the mailbox holds, without the `undecided` requests of the balancer.
+    /// Counts what the mailbox holds, without the `unanswered` requests of the balancer.
     pub fn pending_counts(&self) -> PendingCounts {
         PendingCounts {
             requests: self.requests.len(),
             attempts: self.cancellations.len(),
             timers: self.timers.len(),
-            undecided: 0,
+            unanswered: 0,
         }
     }
 }
--- a/src/effects.rs
+++ b/src/effects.rs
@@ -68,7 +68,7 @@
     /// The endpoint answered.
     Succeeded,
     /// The endpoint answered with an error.
-    ErrorAnswer,
+    ErrorResponse,
     /// The endpoint rejected the request without running it.
     Overloaded,
     /// The attempt was in flight when the request's time ended.
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -137,9 +137,9 @@
     }
 
     /// Handles the removal of the endpoint by an update, or its absence from a snapshot.
-    pub fn on_removed(&mut self, only_draining_binds: bool) {
+    pub fn on_removed(&mut self, only_draining_is_binding: bool) {
         let was_ready = self.listing.status == EndpointStatus::Ready;
-        self.listing.is_missing = only_draining_binds && was_ready && !self.listing.has_drained;
+        self.listing.is_missing = only_draining_is_binding && was_ready && !self.listing.has_drained;
         if !self.listing.is_missing {
             self.listing.status = EndpointStatus::Removed;
         }
@@ -202,7 +202,7 @@
     !matches!(
         outcome,
         AttemptOutcome::Succeeded
-            | AttemptOutcome::ErrorAnswer
+            | AttemptOutcome::ErrorResponse
             | AttemptOutcome::ConnectFailed
             | AttemptOutcome::NotSent
     )
--- a/src/policy/discovery.rs
+++ b/src/policy/discovery.rs
@@ -17,9 +17,9 @@
 impl<E: Effects> Balancer<E> {
     /// Applies a complete snapshot: endpoints that are not in it have been removed.
     pub(super) fn apply_snapshot(&mut self, now: Timestamp, updates: &[EndpointUpdate]) {
-        let only_draining_binds = self.settings.only_draining_binds;
+        let only_draining_is_binding = self.settings.only_draining_is_binding;
         for endpoint in self.endpoints.iter_mut() {
-            endpoint.on_removed(only_draining_binds);
+            endpoint.on_removed(only_draining_is_binding);
         }
         self.apply_updates(now, updates);
     }
@@ -50,7 +50,7 @@
                 self.endpoints.insert(Endpoint::new(now, update, pool, concurrency::MIN_LIMIT, phase));
             }
             Some(index) if is_removed => {
-                self.endpoints[index].on_removed(self.settings.only_draining_binds);
+                self.endpoints[index].on_removed(self.settings.only_draining_is_binding);
             }
             Some(index) => {
                 let has_restarted = self.endpoints[index].on_update(now, update);
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -31,7 +31,7 @@
     fn apply_outcome(&mut self, now: Timestamp, index: EndpointIndex, finished: &FinishedAttempt) {
         match finished.outcome {
             AttemptOutcome::Succeeded => self.record_answer(now, index, finished),
-            AttemptOutcome::ErrorAnswer => self.record_failure(now, index, EjectionCause::ErrorAnswer),
+            AttemptOutcome::ErrorResponse => self.record_failure(now, index, EjectionCause::ErrorResponse),
             AttemptOutcome::ConnectionReset => {
                 self.record_failure(now, index, EjectionCause::ConnectionReset);
             }
--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -34,7 +34,7 @@
 /// The reason for an ejection, as it is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EjectionCause {
-    ErrorAnswer,
+    ErrorResponse,
     ConnectionReset,
     ConnectFailed,
     NoResponse,
@@ -43,10 +43,10 @@
 impl EjectionCause {
     fn as_str(self) -> &'static str {
         match self {
-            EjectionCause::ErrorAnswer => "an error",
-            EjectionCause::ConnectionReset => "its connection broke",
-            EjectionCause::ConnectFailed => "its connection failed",
-            EjectionCause::NoResponse => "no answer",
+            EjectionCause::ErrorResponse => "error response",
+            EjectionCause::ConnectionReset => "connection reset",
+            EjectionCause::ConnectFailed => "connect failed",
+            EjectionCause::NoResponse => "no response",
         }
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -123,7 +123,7 @@
     /// Whether discovery has to be asked for the endpoint list.
     pub discovery_polled: bool,
     /// Whether an endpoint that goes missing from the list without draining first may still be sent requests.
-    pub only_draining_binds: bool,
+    pub only_draining_is_binding: bool,
     /// The longest interval between discovery calls.
     pub max_poll_interval: Ticks,
     /// The capacity of endpoints while they warm up.
--- a/src/settings/decode.rs
+++ b/src/settings/decode.rs
@@ -18,7 +18,7 @@
     Missing(String),
     /// The value of a setting cannot be parsed.
     #[error("{path}: {value:?} is not valid")]
-    Unreadable {
+    InvalidValue {
         /// The path of the setting.
         path: String,
         /// The value of the setting.
@@ -37,7 +37,7 @@
     },
     /// A ratio is greater than 1.
     #[error("{path}: {value} is out of range; expected at most 1")]
-    OverOne {
+    GreaterThanOne {
         /// The path of the setting.
         path: String,
         /// The value of the setting.
@@ -128,7 +128,7 @@
             probe_cost_ratio: self.ratio_or_zero("prices.probe")?,
             zone: self.zone()?,
             discovery_polled,
-            only_draining_binds: self.only_draining_binds()?,
+            only_draining_is_binding: self.only_draining_is_binding()?,
             max_poll_interval: self.ticks("obligations.ask_within")?,
             slow_start: self.slow_start()?,
         })
@@ -147,7 +147,7 @@
         clients_follow.then(|| self.ticks("limits.max_retry_after")).transpose()
     }
 
-    fn only_draining_binds(&self) -> Result<bool, SettingsError> {
+    fn only_draining_is_binding(&self) -> Result<bool, SettingsError> {
         Ok(self.optional("obligations.only_draining_binds", Self::value)?.unwrap_or(false))
     }
 
@@ -227,7 +227,7 @@
     fn value<T: FromStr>(&self, path: &str) -> Result<T, SettingsError> {
         let text = self.text(path)?;
         text.parse()
-            .map_err(|_| SettingsError::Unreadable { path: path.to_string(), value: text.to_string() })
+            .map_err(|_| SettingsError::InvalidValue { path: path.to_string(), value: text.to_string() })
     }
 
     /// Returns a finite number of at least 0.
@@ -268,7 +268,7 @@
         if value <= 1.0 {
             return Ok(value);
         }
-        Err(SettingsError::OverOne { path: path.to_string(), value })
+        Err(SettingsError::GreaterThanOne { path: path.to_string(), value })
     }
 
     /// Returns whether the price is stated as zero. A missing price counts as not free.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -106,7 +106,7 @@
         probe_cost_ratio: 0.0,
         zone: None,
         discovery_polled: true,
-        only_draining_binds: false,
+        only_draining_is_binding: false,
         max_poll_interval: Ticks::from_secs_f64(10.0),
         slow_start: SlowStart {
             fleet_ratio: 1.0,
--- a/tests/decisions/discovery.rs
+++ b/tests/decisions/discovery.rs
@@ -9,9 +9,9 @@
 
 #[test]
 fn missing_endpoint_stays_in_use_if_only_draining_is_binding() {
-    let trace_when = |only_draining_binds| {
+    let trace_when = |only_draining_is_binding| {
         let mut harness =
-            Harness::new(Settings { only_draining_binds, ..settings() }, &one_kind(&[1, 2, 3, 4]));
+            Harness::new(Settings { only_draining_is_binding, ..settings() }, &one_kind(&[1, 2, 3, 4]));
         for (request, key) in [(0, 1), (1, 2), (2, 4), (3, 1), (4, 2), (5, 4)] {
             harness.request(request, READ, key, 0.1).answered(request, 100);
         }
@@ -45,7 +45,7 @@
         request 12 of class 0 arrives | send request 12 to 1
         request 13 of class 0 arrives | send request 13 to 2
         -- one endpoint refuses a connection
-        attempt 0 of request 13 at 2: ConnectFailed | log: endpoint 2 ejected for 205 ms: its connection failed | send request 13 to 1
+        attempt 0 of request 13 at 2: ConnectFailed | log: endpoint 2 ejected for 205 ms: connect failed | send request 13 to 1
         request 14 of class 0 arrives
         request 15 of class 0 arrives
         request 16 of class 0 arrives
@@ -61,7 +61,7 @@
         request 12 of class 0 arrives | reject request 12, retry after a while
         request 13 of class 0 arrives | reject request 13, retry after a while
         -- one endpoint refuses a connection
-        attempt 0 of request 13 at 1: ConnectFailed | log: endpoint 1 ejected for 190 ms: its connection failed
+        attempt 0 of request 13 at 1: ConnectFailed | log: endpoint 1 ejected for 190 ms: connect failed
         request 14 of class 0 arrives | reject request 14, retry after a while
         request 15 of class 0 arrives | reject request 15, retry after a while
         request 16 of class 0 arrives | reject request 16, retry after a while
@@ -79,8 +79,12 @@
 fn wrong_list_does_not_send_all_balancers_to_one_endpoint() {
     let users = |drops: bool| {
         let uses = |&balancer_index: &u32| {
-            let settings =
-                Settings { only_draining_binds: true, balancer_count: 100, balancer_index, ..settings() };
+            let settings = Settings {
+                only_draining_is_binding: true,
+                balancer_count: 100,
+                balancer_index,
+                ..settings()
+            };
             let mut harness = Harness::new(settings, &one_kind(&[1, 2, 3, 4, 5, 6, 7, 8]));
             let started_at = Some(harness.now);
             let mut updates = vec![EndpointUpdate { started_at, ..ready_update(9, 0) }];
--- a/tests/decisions/retries.rs
+++ b/tests/decisions/retries.rs
@@ -19,9 +19,9 @@
         &harness,
         expect![[r#"
             request 1 of class 2 arrives | send request 1 to 2
-            attempt 0 of request 1 at 2: ConnectionReset | log: endpoint 2 ejected for 162 ms: its connection broke | fail request 1
+            attempt 0 of request 1 at 2: ConnectionReset | log: endpoint 2 ejected for 162 ms: connection reset | fail request 1
             request 2 of class 2 arrives | send request 2 to 3
-            attempt 0 of request 2 at 3: ConnectFailed | log: endpoint 3 ejected for 152 ms: its connection failed | send request 2 to 1
+            attempt 0 of request 2 at 3: ConnectFailed | log: endpoint 3 ejected for 152 ms: connect failed | send request 2 to 1
         "#]],
     );
 }
@@ -31,17 +31,17 @@
     let mut harness = Harness::new(settings(), &one_kind(&[1, 2, 3, 4, 5]));
     harness.warm_up(20).request(1, TOP_UP, 1, 0.1);
     let first = harness.last_endpoint();
-    harness.after_ms(50).finish(1, 0, first, AttemptOutcome::ErrorAnswer);
+    harness.after_ms(50).finish(1, 0, first, AttemptOutcome::ErrorResponse);
     let second = harness.last_endpoint();
     harness.note("-- after the window, the next error is final");
-    harness.after_ms(1100).finish(1, 1, second, AttemptOutcome::ErrorAnswer);
+    harness.after_ms(1100).finish(1, 1, second, AttemptOutcome::ErrorResponse);
     check(
         &harness,
         expect![[r#"
             request 1 of class 1 arrives | send request 1 to 2
-            attempt 0 of request 1 at 2: ErrorAnswer | log: endpoint 2 ejected for 162 ms: an error | send request 1 to 4
+            attempt 0 of request 1 at 2: ErrorResponse | log: endpoint 2 ejected for 162 ms: error response | send request 1 to 4
             -- after the window, the next error is final
-            attempt 1 of request 1 at 4: ErrorAnswer | log: endpoint 4 ejected for 225 ms: an error | fail request 1
+            attempt 1 of request 1 at 4: ErrorResponse | log: endpoint 4 ejected for 225 ms: error response | fail request 1
         "#]],
     );
 }
@@ -55,7 +55,7 @@
     harness.warm_up(20).request(1, TOP_UP, 1, 0.1).request(2, TOP_UP, 1, 0.1);
     harness.note("-- endpoint 4 is replaced by an instance in the other zone");
     harness.balancer.on_endpoint_updates(harness.now, &[moved(4, 1)]);
-    harness.finish(1, 0, 2, AttemptOutcome::ErrorAnswer);
+    harness.finish(1, 0, 2, AttemptOutcome::ErrorResponse);
     harness.note("-- so are 1 and 3; request 2 may have run at 3");
     harness.balancer.on_endpoint_updates(harness.now, &[moved(1, 0), moved(3, 0)]);
     harness.finish(2, 0, 3, AttemptOutcome::ConnectionReset);
@@ -65,7 +65,7 @@
             request 1 of class 1 arrives | send request 1 to 2
             request 2 of class 1 arrives | send request 2 to 3
             -- endpoint 4 is replaced by an instance in the other zone
-            attempt 0 of request 1 at 2: ErrorAnswer | log: endpoint 2 ejected for 163 ms: an error | fail request 1
+            attempt 0 of request 1 at 2: ErrorResponse | log: endpoint 2 ejected for 163 ms: error response | fail request 1
             -- so are 1 and 3; request 2 may have run at 3
             attempt 0 of request 2 at 3: ConnectionReset | send request 2 to 4
         "#]],
@@ -93,15 +93,15 @@
     harness.warm_up(20).request(1, READ, 1, 0.1);
     for attempt in 0..3 {
         let endpoint = harness.last_endpoint();
-        harness.after_ms(1).finish(1, attempt, endpoint, AttemptOutcome::ErrorAnswer);
+        harness.after_ms(1).finish(1, attempt, endpoint, AttemptOutcome::ErrorResponse);
     }
     check(
         &harness,
         expect![[r#"
             request 1 of class 0 arrives | send request 1 to 2
-            attempt 0 of request 1 at 2: ErrorAnswer | log: endpoint 2 ejected for 162 ms: an error | send request 1 to 3
-            attempt 1 of request 1 at 3: ErrorAnswer | log: endpoint 3 ejected for 225 ms: an error | send request 1 to 5
-            attempt 2 of request 1 at 5: ErrorAnswer | reject request 1
+            attempt 0 of request 1 at 2: ErrorResponse | log: endpoint 2 ejected for 162 ms: error response | send request 1 to 3
+            attempt 1 of request 1 at 3: ErrorResponse | log: endpoint 3 ejected for 225 ms: error response | send request 1 to 5
+            attempt 2 of request 1 at 5: ErrorResponse | reject request 1
         "#]],
     );
 }
