--- a/crates/balancer/src/admin.rs
+++ b/crates/balancer/src/admin.rs
@@ -147,11 +147,11 @@
             }
             now - discovery.warm_up_time()
         };
-        let mut has_room = true;
+        let mut has_capacity = true;
         let stored = self.override_store.update(&mut |text| {
             let mut overrides = ManualOverrides::decode(text).overrides;
             match action {
-                OverrideAction::Eject => has_room = overrides.eject(name),
+                OverrideAction::Eject => has_capacity = overrides.eject(name),
                 OverrideAction::Restore => overrides.restore(name, now, warm_since),
             }
             overrides.encode()
@@ -160,7 +160,7 @@
             log_line!(self.runtime, "manual override: could not store the overrides: {error}");
             return Err(AdminError::Store(error));
         }
-        if !has_room {
+        if !has_capacity {
             return Err(AdminError::TooManyEjected);
         }
         self.sync_overrides();
--- a/crates/balancer/src/admin/overrides.rs
+++ b/crates/balancer/src/admin/overrides.rs
@@ -42,11 +42,11 @@
     /// Ejects an endpoint. Returns false if the maximum number of endpoints is ejected already.
     pub fn eject(&mut self, name: &str) -> bool {
         self.restored_at.remove(name);
-        let has_room = self.ejected.len() < MAX_OVERRIDES || self.ejected.contains(name);
-        if has_room {
+        let has_capacity = self.ejected.len() < MAX_OVERRIDES || self.ejected.contains(name);
+        if has_capacity {
             self.ejected.insert(name.to_string());
         }
-        has_room
+        has_capacity
     }
 
     /// Restores an endpoint, and forgets those that were restored by `warm_since`, since they have warmed up.
--- a/crates/balancer/src/http/client_connections.rs
+++ b/crates/balancer/src/http/client_connections.rs
@@ -1,5 +1,5 @@
-//! Manages all client connections of a process: limits their number and evicts idle ones to make room for
-//! others.
+//! Manages all client connections of a process: limits their number and evicts idle ones so that others
+//! can be accepted.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -137,7 +137,7 @@
         connections.len() > max_active && active() >= max_active
     }
 
-    /// Accepts a connection once there is room for it, evicting another one if necessary.
+    /// Accepts a connection once their number is below the limit, evicting another one if necessary.
     ///
     /// This method is cancel safe.
     pub async fn accept(&self, listener: &R::Listener) -> R::Stream {
--- a/crates/balancer/src/http/connection.rs
+++ b/crates/balancer/src/http/connection.rs
@@ -210,7 +210,7 @@
         self.inner().client_error.take()
     }
 
-    /// Asks the connection to close to make room for another.
+    /// Asks the connection to close so that another can be accepted.
     pub fn evict(&self) {
         self.inner().state.on_evicted();
         self.close_requested.notify_one();
--- a/crates/balancer/src/http/dispatch.rs
+++ b/crates/balancer/src/http/dispatch.rs
@@ -66,8 +66,8 @@
     outgoing.body.wait_for_timeout(runtime, deadline, timeout)
 }
 
-/// Guards a request in flight: if it is dropped before the response, the dispatcher is told that the client
-/// has disconnected.
+/// Guards a request in flight: if it is dropped before the response, the dispatcher is notified that the
+/// client has disconnected.
 struct RequestGuard<'a, R: Runtime> {
     runtime: &'a R,
     dispatcher: &'a Dispatcher,
@@ -84,7 +84,7 @@
 /// client.
 ///
 /// `class` is the name under which a streamed response is counted. Once `grace_end` completes, the dispatcher
-/// is told to expire the request. `on_response` may change the head of an endpoint's response.
+/// expires the request. `on_response` may change the head of an endpoint's response.
 ///
 /// Dropping the future reports to the dispatcher that the client has disconnected.
 pub async fn dispatch<R: Runtime, U: UpstreamService<R>>(
--- a/crates/balancer/tests/initial_endpoints.rs
+++ b/crates/balancer/tests/initial_endpoints.rs
@@ -47,7 +47,7 @@
     list.endpoints.iter().map(|entry| (entry.name.as_str(), summary(entry).0, summary(entry).1)).collect()
 }
 
-/// Guards against a stale stored list that sends requests to endpoints which the configuration excludes. The
+/// Checks that a stale stored list sends no requests to endpoints which the configuration excludes. The
 /// list of the later version is used; an older stored one may only mark endpoints as draining or recently
 /// started.
 #[test]
--- a/crates/balancer/tests/stall_detector.rs
+++ b/crates/balancer/tests/stall_detector.rs
@@ -4,7 +4,7 @@
 use doorproxy::ids::{Ticks, Timestamp};
 use doorproxy_balancer::runtime::stall_detector::StallDetector;
 
-/// Guards against requests that arrive while the process is stopped and get their whole timeout again.
+/// Detects requests that arrive while the process is stopped and get their whole timeout again.
 #[test]
 fn reads_after_a_stall_are_dated_to_its_beginning() {
     let mut detector = StallDetector::new(Timestamp(0));
@@ -29,7 +29,7 @@
     );
 }
 
-/// Guards against a backlog that takes seconds to read and is dated to the time of each read.
+/// Detects a backlog that takes seconds to read and is dated to the time of each read.
 #[test]
 fn long_backlog_is_dated_to_the_beginning_of_the_stall() {
     let mut detector = StallDetector::new(Timestamp(0));
--- a/crates/cli/src/overrides.rs
+++ b/crates/cli/src/overrides.rs
@@ -1,4 +1,4 @@
-//! The commands that detach and attach endpoints by hand, at one balancer or in the whole fleet, and show the
+//! The commands that detach and attach endpoints manually, at one balancer or in the whole fleet, and show the
 //! current overrides. A change is reported only after the balancer has confirmed it.
 
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use crate::error::{AdminCallError, CommandError};
 use crate::exit::{Answer, CommandResult};
 
-/// Detach an endpoint by hand at a running balancer, or in the whole fleet.
+/// Detach an endpoint manually at a running balancer, or in the whole fleet.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "detach")]
 pub struct DetachCommand {
@@ -26,7 +26,7 @@
     fleet: bool,
 }
 
-/// Attach an endpoint again that was detached by hand.
+/// Attach an endpoint again that was detached manually.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "attach")]
 pub struct AttachCommand {
--- a/crates/cli/src/quotas.rs
+++ b/crates/cli/src/quotas.rs
@@ -42,7 +42,7 @@
     pub disconnected_limits: i64,
 }
 
-/// Returns the name of a tenant's limit. The prefix leaves room for limits of other kinds.
+/// Returns the name of a tenant's limit. The prefix keeps it distinct from limits of other kinds.
 fn quota_name(tenant: &str) -> String {
     format!("tenant {tenant}")
 }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -46,7 +46,7 @@
     fleet: Option<PathBuf>,
 }
 
-/// Runs a balancer until it is told to stop.
+/// Runs a balancer until it is shut down.
 ///
 /// # Errors
 /// Returns an error if a file is invalid, a component can't start, or serving fails.
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -319,7 +319,7 @@
 }
 
 /// An endpoint whose accept queue is full, so that connections to it stay in SYN_SENT until
-/// [`BlockedEndpoint::accept_first`] makes room.
+/// [`BlockedEndpoint::accept_first`] takes one from the queue.
 pub struct BlockedEndpoint {
     listener: TcpListener,
     pub address: SocketAddr,
--- a/crates/cli/tests/configuration.rs
+++ b/crates/cli/tests/configuration.rs
@@ -8,7 +8,7 @@
 use expect_test::expect;
 use serde_json::{Value, json};
 
-/// Guards against a SIGHUP that ends the process, and against a reload that keeps polling the old discovery
+/// Detects a SIGHUP that ends the process, and a reload that keeps polling the old discovery
 /// address.
 #[test]
 fn reload_follows_discovery_to_its_new_address() {
--- a/crates/cli/tests/deployed.rs
+++ b/crates/cli/tests/deployed.rs
@@ -97,7 +97,7 @@
     .assert_eq(&reports.join("--\n"));
 }
 
-/// Guards against child processes and against threads that never block, which the operators' fleet test does
+/// Detects child processes and threads that never block, which the operators' fleet test does
 /// not accept.
 #[test]
 fn serving_balancer_is_one_process_with_blocking_threads() {
@@ -157,7 +157,7 @@
     names.filter(|name| inodes.iter().any(|inode| *name == format!("socket:[{inode}]"))).count()
 }
 
-/// Guards against a state folder or a peer socket that the configuration does not ask for.
+/// Detects a state folder or a peer socket that the configuration does not ask for.
 #[test]
 fn without_fleet_file_no_extra_thread_file_or_socket() {
     let trace = Trace::default();
--- a/crates/cli/tests/gone.rs
+++ b/crates/cli/tests/gone.rs
@@ -36,7 +36,7 @@
     Client::new(balancer).get("/", "next").record_answer(trace);
 }
 
-/// Guards against an attempt that continues after its client has disconnected: more pipelined requests follow
+/// Detects an attempt that continues after its client has disconnected: more pipelined requests follow
 /// it than the balancer reads ahead, and the end of the connection comes after them.
 #[test]
 fn disconnect_behind_unread_pipeline_is_detected() {
@@ -60,7 +60,7 @@
     "#]]);
 }
 
-/// Guards against an attempt that starts after its client has disconnected behind a long body. The balancer
+/// Detects an attempt that starts after its client has disconnected behind a long body. The balancer
 /// holds only the beginning of the body until an endpoint reads the rest, so the end of the connection lies
 /// behind bytes that it does not read.
 #[test]
@@ -88,7 +88,7 @@
     assert!(started.is_none(), "{}", started.unwrap().head);
 }
 
-/// Guards against a body that streams on after its client has disconnected, while the endpoint has stopped
+/// Detects a body that streams on after its client has disconnected, while the endpoint has stopped
 /// reading.
 #[test]
 fn long_body_stops_streaming_after_disconnect() {
@@ -133,7 +133,7 @@
     trace.wait_for("A: body complete: false");
 }
 
-/// Guards against a pipelined request's deadline that counts from its turn on the connection; its client
+/// Detects a pipelined request's deadline that counts from its turn on the connection; its client
 /// counts from when it sent the request.
 #[test]
 fn pipelined_request_deadline_counts_from_arrival() {
@@ -168,7 +168,7 @@
     "#]]);
 }
 
-/// Guards against requests that arrived while the process was stopped but get a later arrival time because
+/// Detects requests that arrived while the process was stopped but get a later arrival time because
 /// reading them takes long. The process is stopped again as soon as it has logged the stall, for less than it
 /// would detect.
 fn requests_from_before_resume_are_rejected(on_new_connections: bool) {
@@ -222,7 +222,7 @@
     requests_from_before_resume_are_rejected(false);
 }
 
-/// Guards against a later arrival time for requests on connections that are still in the accept queue when
+/// Detects a later arrival time for requests on connections that are still in the accept queue when
 /// the process resumes: accepting them takes one more turn of its event loop.
 #[test]
 fn connections_queued_before_resume_expire() {
--- a/crates/cli/tests/large.rs
+++ b/crates/cli/tests/large.rs
@@ -185,7 +185,7 @@
     answer
 }
 
-/// Guards against buffering whole bodies: four clients each send and receive 32 MiB, and the peak memory of
+/// Detects buffering whole bodies: four clients each send and receive 32 MiB, and the peak memory of
 /// the balancer must stay under 32 MiB.
 #[test]
 fn large_bodies_stream_both_ways_in_bounded_memory() {
@@ -219,7 +219,7 @@
     .assert_eq(&lines.join("\n"));
 }
 
-/// Guards against two attempts that each send part of one body, and against a retry without the part that has
+/// Detects two attempts that each send part of one body, and a retry without the part that has
 /// already been streamed.
 #[test]
 fn request_is_not_retried_once_its_body_streams() {
@@ -255,7 +255,7 @@
     "#]]);
 }
 
-/// Guards against a truncated response that looks complete, and against buffering a response until it is
+/// Detects a truncated response that looks complete, and buffering a response until it is
 /// complete.
 #[test]
 fn long_responses_stream_from_first_byte_and_break_visibly() {
@@ -290,7 +290,7 @@
     "#]]);
 }
 
-/// Guards against mishandling framing that HTTP/1.1 allows: chunk extensions and trailers,
+/// Detects mishandled framing that HTTP/1.1 allows: chunk extensions and trailers,
 /// `Expect: 100-continue`, HEAD, absolute URLs, slow heads and incomplete bodies.
 #[test]
 fn http_1_1_framing_variants_get_correct_answers() {
--- a/crates/cli/tests/migrate.rs
+++ b/crates/cli/tests/migrate.rs
@@ -81,10 +81,10 @@
     let calls = [
         ("a dry run", &valid, format!("{COMPLETE_ARGUMENTS} --dry-run")),
         ("a target that is there", &valid, COMPLETE_ARGUMENTS.replace("new.json", "taken.json")),
-        ("too little said", &valid, "--balancers 90 --ordinal 3 --out new.json".to_string()),
-        ("a zone that nobody has heard of", &valid, COMPLETE_ARGUMENTS.replace("east", "west")),
+        ("missing arguments", &valid, "--balancers 90 --ordinal 3 --out new.json".to_string()),
+        ("unknown zone", &valid, COMPLETE_ARGUMENTS.replace("east", "west")),
         ("a report without the load", &valid, COMPLETE_ARGUMENTS.replace("waiting,active", "cpu")),
-        ("an ordinal beyond", &valid, COMPLETE_ARGUMENTS.replace("--ordinal 3", "--ordinal 90")),
+        ("ordinal out of range", &valid, COMPLETE_ARGUMENTS.replace("--ordinal 3", "--ordinal 90")),
         ("no count", &valid, COMPLETE_ARGUMENTS.replace("--balancers 90 ", "")),
         ("broken JSON", &"{".to_string(), COMPLETE_ARGUMENTS.to_string()),
         ("tenants", &with_tenants, COMPLETE_ARGUMENTS.to_string()),
@@ -104,10 +104,10 @@
         a dry run: exit Some(0), there: old.json
         a target that is there: doorproxy: taken.json: the file exists and is not replaced | exit Some(2), there: old.json taken.json
         a target that is there: it holds "as it was"
-        too little said: missing: --listen | missing: --seed | missing: --zone, one of settings.dcs | missing: --report | exit Some(1), there: old.json
-        a zone that nobody has heard of: missing: --zone, one of settings.dcs | exit Some(1), there: old.json
+        missing arguments: missing: --listen | missing: --seed | missing: --zone, one of settings.dcs | missing: --report | exit Some(1), there: old.json
+        unknown zone: missing: --zone, one of settings.dcs | exit Some(1), there: old.json
         a report without the load: invalid: --report has no "active", so the load of endpoints would be unknown | exit Some(1), there: old.json
-        an ordinal beyond: doorproxy: --ordinal: 90 is not below 90, the number of balancers | exit Some(2), there: old.json
+        ordinal out of range: doorproxy: --ordinal: 90 is not below 90, the number of balancers | exit Some(2), there: old.json
         no count: Required options not provided: |     --balancers | Run `doorproxy --help` for usage. | exit Some(2), there: old.json
         broken JSON: invalid: old.json: EOF while parsing an object at line 1 column 1 | exit Some(1), there: old.json
         tenants: not carried over: settings.overage_benefit: omitted together with the tenants' shares | not carried over: settings.projects: each balancer enforces an even part of a tenant's share, but processes have unequal load | exit Some(1), there: new.json old.json
--- a/crates/cli/tests/operators.rs
+++ b/crates/cli/tests/operators.rs
@@ -89,7 +89,7 @@
     names.join(" ")
 }
 
-/// Guards against a manual override that is lost when the balancer restarts.
+/// Detects a manual override that is lost when the balancer restarts.
 #[test]
 fn detached_endpoint_gets_no_requests_until_attached() {
     let trace = Trace::default();
@@ -127,7 +127,7 @@
     "#]]);
 }
 
-/// Guards against an endpoint list that ends a manual override: listing a detached endpoint as ready, even in
+/// Detects an endpoint list that ends a manual override: listing a detached endpoint as ready, even in
 /// a newer version, does not attach it.
 #[test]
 fn discovery_does_not_attach_a_detached_endpoint() {
@@ -170,8 +170,8 @@
     let report = Trace::default();
     let long = "a".repeat(2000);
     for (path, body) in [
-        ("/_upstreams/detach", "nobody"),
-        ("/_upstreams/attach", "nobody"),
+        ("/_upstreams/detach", "absent"),
+        ("/_upstreams/attach", "absent"),
         ("/_upstreams/detach", ""),
         ("/_upstreams/detach", "a b"),
         ("/_upstreams/detach", "a,b"),
@@ -217,7 +217,7 @@
     links.filter(|link| link.to_string_lossy().starts_with("socket:")).count()
 }
 
-/// Guards against idle callers that use up all descriptors: with more than eight connections, the admin API
+/// Checks that idle callers can't use up all descriptors: with more than eight connections, the admin API
 /// closes the oldest at once.
 #[test]
 fn admin_connections_are_bounded() {
@@ -232,7 +232,7 @@
     drop(idle);
 }
 
-/// Guards against requests that are counted twice or not at all: compares the metrics of random requests with
+/// Detects requests that are counted twice or not at all: compares the metrics of random requests with
 /// the answers that the clients got.
 #[test]
 fn metrics_match_what_clients_saw() {
@@ -305,7 +305,7 @@
     .assert_eq(&report);
 }
 
-/// Guards against admin calls that wait for the tasks that serve requests: in this test those tasks never
+/// Detects admin calls that wait for the tasks that serve requests: in this test those tasks never
 /// run.
 #[test]
 fn admin_calls_are_answered_while_data_path_is_stalled() {
--- a/crates/cli/tests/races.rs
+++ b/crates/cli/tests/races.rs
@@ -15,7 +15,7 @@
 use expect_test::expect;
 use serde_json::{Value, json};
 
-/// Guards against an endpoint that keeps working after the client's deadline: the remaining time was computed
+/// Detects an endpoint that keeps working after the client's deadline: the remaining time was computed
 /// when the attempt was chosen, but the connection was established later.
 #[test]
 fn attempt_carries_time_left_at_its_start() {
@@ -46,7 +46,7 @@
     );
 }
 
-/// Guards against an attempt that was chosen before an update marked the endpoint as draining, and starts
+/// Detects an attempt that was chosen before an update marked the endpoint as draining, and starts
 /// after it.
 #[test]
 fn no_attempt_starts_at_endpoint_draining_since_connect() {
@@ -78,7 +78,7 @@
     "#]]);
 }
 
-/// Guards against an attempt for a client that has disconnected, where the settings do not allow cancelling
+/// Detects an attempt for a client that has disconnected, where the settings do not allow cancelling
 /// attempts that have started.
 #[test]
 fn no_attempt_starts_for_disconnected_client() {
@@ -102,7 +102,7 @@
     assert!(started.is_none(), "{}", started.unwrap().head);
 }
 
-/// Guards against attempts that start or continue for a client that has disconnected: the end of the
+/// Detects attempts that start or continue for a client that has disconnected: the end of the
 /// connection comes after the requests that the client pipelined.
 #[test]
 fn disconnect_behind_pipeline_ends_all_its_requests() {
@@ -123,7 +123,7 @@
     "#]]);
 }
 
-/// Guards against attempts that start or continue for a client that disconnects while it receives a response.
+/// Detects attempts that start or continue for a client that disconnects while it receives a response.
 #[test]
 fn disconnect_during_response_ends_pipelined_requests() {
     let trace = Trace::default();
@@ -151,7 +151,7 @@
     "#]]);
 }
 
-/// Guards against answers out of order for pipelined requests, even if a body is longer than the balancer
+/// Detects answers out of order for pipelined requests, even if a body is longer than the balancer
 /// reads ahead.
 #[test]
 fn pipelined_requests_are_answered_in_order() {
@@ -188,7 +188,7 @@
     config
 }
 
-/// Guards against losing a connection that is still in the accept queue when the process decides that no
+/// Detects the loss of a connection that is still in the accept queue when the process decides that no
 /// connection is left and exits.
 #[test]
 fn connection_in_backlog_at_last_accept_is_served() {
@@ -215,7 +215,7 @@
     "#]]);
 }
 
-/// Guards against losing a request that arrives on an idle or unused connection before the balancer closes
+/// Detects the loss of a request that arrives on an idle or unused connection before the balancer closes
 /// it.
 #[test]
 fn request_on_idle_connection_before_its_close_is_answered() {
@@ -240,7 +240,7 @@
     assert_eq!((answered, balancer.process.wait().unwrap().code()), (100, Some(0)));
 }
 
-/// Guards against a 502, which says that the request may have run, for a request that provably never started.
+/// Detects a 502, which says that the request may have run, for a request that provably never started.
 #[test]
 fn unstarted_requests_are_rejected_at_shutdown() {
     let trace = Trace::default();
@@ -263,7 +263,7 @@
     "#]]);
 }
 
-/// Guards against a connection that is closed in the middle of a request: the balancer decided to close it
+/// Detects a connection that is closed in the middle of a request: the balancer decided to close it
 /// before the first byte arrived.
 #[test]
 fn request_racing_connection_close_is_answered_or_unread() {
@@ -323,7 +323,7 @@
     has_ended
 }
 
-/// Guards against a second signal that ends requests which the first signal allowed to finish.
+/// Detects a second signal that ends requests which the first signal allowed to finish.
 #[test]
 fn signals_during_shutdown_are_ignored() {
     let trace = Trace::default();
@@ -368,7 +368,7 @@
     })
 }
 
-/// Guards against updates that arrive too late after the discovery service has hung once: a call for a
+/// Detects updates that arrive too late after the discovery service has hung once: a call for a
 /// snapshot got the timeout of a watch, which may wait for minutes.
 #[test]
 fn hanging_snapshot_call_times_out_before_watch_wait() {
@@ -382,7 +382,7 @@
     let balancer = start_from(&config.to_string());
     let began = Instant::now();
     received_calls.wait_for("call 2: GET /api/targets HTTP/1.1");
-    // The timeout is 2.2 s and the pause at most 0.6 s; the limit leaves room for a busy machine, but stays
+    // The timeout is 2.2 s and the pause at most 0.6 s; the limit allows for a busy machine, but stays
     // below the timeout of a watch.
     assert!(began.elapsed() < Duration::from_secs(10), "{:?}", began.elapsed());
     balancer.log.wait_for_prefix("discovery: endpoint ", 1);
@@ -393,7 +393,7 @@
     "#]]);
 }
 
-/// Guards against missing all further updates from a discovery service that has restarted and counts its
+/// Detects the loss of all further updates from a discovery service that has restarted and counts its
 /// versions from the beginning.
 #[test]
 fn decreasing_discovery_version_forces_snapshot() {
@@ -420,9 +420,9 @@
     "#]]);
 }
 
-/// Guards against sending requests of one customer to the endpoints of another after a reload with a foreign
-/// file, and against an operator who believes that a field was reloaded although it applies only after a
-/// restart.
+/// Checks that a reload with a foreign file sends no requests of one customer to the endpoints of another,
+/// and that fields which apply only after a restart are named: otherwise an operator would assume that they
+/// were reloaded.
 #[test]
 fn reload_rejects_foreign_file_and_names_deferred_fields() {
     let trace = Trace::default();
@@ -459,7 +459,7 @@
     "#]]);
 }
 
-/// Guards against restoring an endpoint list and learned values that another deployment stored under the same
+/// Detects restoring an endpoint list and learned values that another deployment stored under the same
 /// names.
 #[test]
 fn state_from_other_settings_is_not_restored() {
--- a/crates/cli/tests/resets.rs
+++ b/crates/cli/tests/resets.rs
@@ -36,7 +36,7 @@
     (text.clone(), ended && text.ends_with("0\r\n\r\n"))
 }
 
-/// Guards against forwarding a partial response as complete: the end of the connection marks the end of a
+/// Detects forwarding a partial response as complete: the end of the connection marks the end of a
 /// response without a length, but a reset does not.
 #[test]
 fn reset_response_without_length_is_not_forwarded() {
@@ -55,7 +55,7 @@
     "#]]);
 }
 
-/// Guards against a client that takes a partial response for a complete one when the endpoint resets the
+/// Checks that a client can't take a partial response for a complete one when the endpoint resets the
 /// connection after the balancer has already forwarded the beginning.
 #[test]
 fn response_reset_while_streaming_is_visibly_incomplete() {
@@ -72,7 +72,7 @@
     assert!(!looks_complete, "{text:?}");
 }
 
-/// Guards against a balancer that stays unusable once idle clients have held all its descriptors. It must
+/// Detects a balancer that stays unusable once idle clients have held all its descriptors. It must
 /// still reach discovery and its endpoints and accept new clients, and must not spin on failing accepts
 /// meanwhile.
 #[test]
--- a/crates/cli/tests/sidecar.rs
+++ b/crates/cli/tests/sidecar.rs
@@ -173,7 +173,7 @@
     assert!(Command::new("sh").arg("-c").arg(kill).status().unwrap().success());
 }
 
-/// Guards against losing a connection that is still in the accept queue when the process decides that no
+/// Detects the loss of a connection that is still in the accept queue when the process decides that no
 /// connection is left and exits.
 #[test]
 fn connection_in_backlog_at_last_accept_is_served() {
@@ -251,7 +251,7 @@
     .assert_eq(&report);
 }
 
-/// Guards against running an order twice: an endpoint that drops the connection after a complete request may
+/// Detects running an order twice: an endpoint that drops the connection after a complete request may
 /// have run it.
 #[test]
 fn started_reads_are_retried_but_orders_are_not() {
--- a/crates/cli/tests/sockets.rs
+++ b/crates/cli/tests/sockets.rs
@@ -108,7 +108,7 @@
     let invalid = [
         ("GET / HTTP/1.1", valid.replace("Req-Id: 1\r\n", ""), ""),
         ("GET / HTTP/1.1", valid.replace("look", "browse"), ""),
-        ("GET / HTTP/1.1", valid.replace("acme", "nobody"), ""),
+        ("GET / HTTP/1.1", valid.replace("acme", "unknown"), ""),
         ("GET / HTTP/1.1", valid.replace("30000", "soon"), ""),
         ("GET / HTTP/1.1", valid.replace("30000", "-1"), ""),
         ("GET / HTTP/1.1", format!("{valid}Req-Cost: NaN\r\n"), ""),
@@ -173,7 +173,7 @@
     "#]]);
 }
 
-/// Guards against two attempts with one request id, and against clients that hold a connection open without a
+/// Checks that no two attempts have one request id, and that no client holds a connection open without a
 /// request or with an incomplete one.
 #[test]
 fn duplicate_ids_and_silent_clients_are_rejected() {
@@ -223,7 +223,7 @@
     "#]]);
 }
 
-/// Guards against attempts on idle connections to an endpoint whose machine has disappeared without closing
+/// Detects attempts on idle connections to an endpoint whose machine has disappeared without closing
 /// them.
 #[test]
 fn unresponsive_endpoint_loses_its_idle_connections() {
@@ -284,7 +284,7 @@
     "#]]);
 }
 
-/// Guards against a request that is still pending, and gets no answer, when the platform kills the process
+/// Detects a request that is still pending, and gets no answer, when the platform kills the process
 /// after the grace period.
 #[test]
 fn shutdown_abandons_requests_after_grace() {
@@ -342,7 +342,7 @@
     "#]]);
 }
 
-/// Guards against keeping every endpoint that was ever listed, and against state of a removed endpoint that
+/// Detects that every endpoint that was ever listed is kept, and that the state of a removed endpoint
 /// applies to its replacement at the same address.
 #[test]
 fn replaced_endpoint_is_forgotten() {
@@ -386,8 +386,8 @@
     "#]]);
 }
 
-/// Guards against clients that send one request and keep their connection open until no sockets are left for
-/// others.
+/// Checks that clients which send one request and keep their connection open can't use up the sockets that
+/// others need.
 #[test]
 fn one_shot_clients_are_closed_before_sockets_run_out() {
     let trace = Trace::default();
@@ -411,7 +411,7 @@
     "#]]);
 }
 
-/// Guards against clients that start requests and never complete them until no sockets are left.
+/// Checks that clients which start requests and never complete them can't use up all sockets.
 #[test]
 fn incomplete_requests_are_closed_for_new_connections() {
     let trace = Trace::default();
--- a/crates/cli/tests/stored_snapshot.rs
+++ b/crates/cli/tests/stored_snapshot.rs
@@ -166,7 +166,7 @@
     time(text.lines().find(|line| line.starts_with("sample ")).unwrap()).unwrap()
 }
 
-/// Guards against a successor that loses or invents lines of the snapshot it restores.
+/// Detects a successor that loses or invents lines of the snapshot it restores.
 #[test]
 fn successor_restores_snapshot_of_predecessor() {
     let written = snapshot_for_successor(config());
@@ -182,7 +182,7 @@
     assert_eq!(invented, Vec::<&str>::new());
 }
 
-/// Guards against restoring state that was learned under other settings.
+/// Detects restoring state that was learned under other settings.
 #[test]
 fn snapshot_from_other_settings_is_not_restored() {
     let mut config = config();
--- a/crates/cli/tests/upgrade.rs
+++ b/crates/cli/tests/upgrade.rs
@@ -181,7 +181,7 @@
     let trace = Trace::default();
     let mut platform = Platform::new("dies", &[endpoint_entry("a", test_endpoint("A", &trace), "active")]);
     let (old, old_admin) = platform.start();
-    let told = Trace::default();
+    let observed = Trace::default();
     let mut pending_client = Client::new(&old);
     pending_client.get("/slow", "1");
     trace.wait_for("A: GET /slow HTTP/1.1 id 1 body \"\"");
@@ -189,7 +189,7 @@
     let valid_config = platform.config.clone();
     platform.config["seed"] = json!("no seed");
     let ended = platform.spawn("3", platform.listener.try_clone().unwrap().into()).wait().unwrap();
-    told.record(&format!("can't start: {:?}", ended.code()));
+    observed.record(&format!("can't start: {:?}", ended.code()));
     platform.config = valid_config;
     // A successor that hangs before it serves: it is stopped while it waits for an endpoint list that never
     // arrives.
@@ -199,10 +199,10 @@
     BufReader::new(hung.stderr.take().unwrap()).read_line(&mut line).unwrap();
     let stop = format!("kill -STOP {}", hung.id());
     assert!(Command::new("sh").arg("-c").arg(stop).status().unwrap().success());
-    told.record(&format!("hangs: {}", line.starts_with("admin: listening on")));
+    observed.record(&format!("hangs: {}", line.starts_with("admin: listening on")));
     platform.config["discovery"] = known;
-    Client::new(&old).get("/", "0").record_answer(&told);
-    told.record(&format!("old: {}", call_admin(old_admin, "GET /_ready", "")));
+    Client::new(&old).get("/", "0").record_answer(&observed);
+    observed.record(&format!("old: {}", call_admin(old_admin, "GET /_ready", "")));
     hung.kill().unwrap();
     hung.wait().unwrap();
     // A successor that is killed while it serves, and leaves its process file behind.
@@ -210,25 +210,25 @@
     old.log.wait_for("server: successor process is serving");
     drop(new);
     old.log.wait_for("server: successor process has exited");
-    told.record(&format!("old: {}", call_admin(old_admin, "GET /_ready", "")));
-    Client::new(&old).get("/", "2").record_answer(&told);
+    observed.record(&format!("old: {}", call_admin(old_admin, "GET /_ready", "")));
+    Client::new(&old).get("/", "2").record_answer(&observed);
     trace.record("go on");
-    pending_client.record_answer(&told);
-    // The next successor right after it: existing connections are told to close, and new ones reach the
+    pending_client.record_answer(&observed);
+    // The next successor right after it: existing connections are asked to close, and new ones reach the
     // successor.
     let mut kept_client = Client::new(&old);
-    kept_client.get("/", "3").record_answer(&told);
+    kept_client.get("/", "3").record_answer(&observed);
     let (new, new_admin) = platform.start();
     old.log.wait_for_prefix("server: successor process is serving", 2);
-    kept_client.get("/", "4").record_answer(&told);
+    kept_client.get("/", "4").record_answer(&observed);
     let answered = || metric(old_admin, "edge_proxy.answered.look:");
     let before = answered();
     (5..15).for_each(|id| drop(read_message(&mut Client::new(&new).get("/", &id.to_string()).0)));
-    told.record(&format!("requests answered by old: {}", answered() - before));
-    told.record(&format!("new: {}", call_admin(new_admin, "GET /_ready", "")));
+    observed.record(&format!("requests answered by old: {}", answered() - before));
+    observed.record(&format!("new: {}", call_admin(new_admin, "GET /_ready", "")));
     old.signal("TERM");
-    Client::new(&new).get("/", "15").record_answer(&told);
-    told.assert_matches(expect![[r#"
+    Client::new(&new).get("/", "15").record_answer(&observed);
+    observed.assert_matches(expect![[r#"
         can't start: Some(1)
         hangs: true
         client: 200 "well", x-kept as it came
@@ -276,7 +276,7 @@
     .assert_eq(&report);
 }
 
-/// Guards against a successor that is told to shut down while it waits for the endpoint list, and then still
+/// Detects a successor that is asked to shut down while it waits for the endpoint list, and then still
 /// takes over from its predecessor.
 #[test]
 fn successor_terminated_before_ready_never_serves() {
--- a/crates/config/src/fleet/sections.rs
+++ b/crates/config/src/fleet/sections.rs
@@ -15,7 +15,7 @@
 const DEFAULT_REPORT_LIFETIME: Duration = Duration::from_secs(5);
 const DEFAULT_LEASE_DURATION: Duration = Duration::from_secs(10);
 const MAX_PERMIT_HOLDERS: u16 = 16;
-/// Limits the length of names, since a datagram must have room for several of them.
+/// Limits the length of names, since a datagram must fit several of them.
 const MAX_NAME_BYTES: usize = 32;
 
 /// Reads the `state` section. Returns `None` if the directory is missing.
--- a/crates/config/tests/checks.rs
+++ b/crates/config/tests/checks.rs
@@ -142,7 +142,7 @@
     }
 }
 
-/// Guards against a retry on an endpoint that does not drop it as a duplicate: endpoints without a zone or
+/// Detects a retry on an endpoint that does not drop it as a duplicate: endpoints without a zone or
 /// cell would count as one scope.
 #[test]
 fn endpoints_must_state_their_dedup_scope() {
@@ -321,8 +321,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against a panic of the check on any edit of a valid file, against a configuration that is returned
-    /// despite errors, and against one that is missing without any.
+    /// Detects a panic of the check on any edit of a valid file, a configuration that is returned
+    /// despite errors, and one that is missing without any.
     #[test]
     fn edits_never_panic(
         offset in 0..EXAMPLE.len(),
--- a/crates/fleet-health/src/fault_reports/collector.rs
+++ b/crates/fleet-health/src/fault_reports/collector.rs
@@ -49,7 +49,7 @@
         request: &Message,
     ) -> Option<Message> {
         let Message::Request { nonce, last_number, zone, reports } = request else { return None };
-        if !self.has_room_for(now, report_lifetime, from) {
+        if !self.can_track(now, report_lifetime, from) {
             return None;
         }
         let last_issued_at = last_number.and_then(|number| self.issued_at(from, number));
@@ -61,7 +61,7 @@
         Some(Message::Response { nonce: *nonce, number, reports })
     }
 
-    fn has_room_for(&mut self, now: Timestamp, report_lifetime: Ticks, from: NodeId) -> bool {
+    fn can_track(&mut self, now: Timestamp, report_lifetime: Ticks, from: NodeId) -> bool {
         if self.issued_numbers.len() < MAX_BALANCERS || self.issued_numbers.contains_key(&from) {
             return true;
         }
--- a/crates/fleet-health/src/gossip.rs
+++ b/crates/fleet-health/src/gossip.rs
@@ -23,7 +23,7 @@
 const MAX_PUSHED_ENTRIES: usize = 4;
 /// Bounds the encoded size of an entry.
 const MAX_ENTRY_BYTES: usize = MAX_NAME_BYTES + ENTRY_OVERHEAD_BYTES;
-/// Limits the bytes of entries in one datagram, which leaves room for the digests.
+/// Limits the bytes of entries in one datagram, so that the digests fit too.
 const MAX_BYTES_PER_DATAGRAM: usize = 800;
 /// Sets how long a peer counts as in sync after its digests matched, in periods per other balancer.
 const IN_SYNC_PERIODS: f64 = 3.0;
--- a/crates/fleet-health/src/operator_overrides/register.rs
+++ b/crates/fleet-health/src/operator_overrides/register.rs
@@ -75,7 +75,7 @@
         if let Some(known) = known.filter(|known| known.is_ejected == is_ejected) {
             return Ok(known);
         }
-        if is_ejected && !self.has_room_for_ejection() {
+        if is_ejected && !self.can_store_ejection() {
             return Err(OverrideError::Full);
         }
         let version = known.map_or(0, |known| known.version) + 1;
@@ -90,8 +90,8 @@
         let OverrideEntry { endpoint, value } = entry;
         let known = self.get(endpoint);
         let is_newer = known.is_none_or(|known| *value > known);
-        let has_room = known.is_some() || !value.is_ejected || self.has_room_for_ejection();
-        let is_merged = is_newer && has_room && is_valid_name(endpoint);
+        let can_store = known.is_some() || !value.is_ejected || self.can_store_ejection();
+        let is_merged = is_newer && can_store && is_valid_name(endpoint);
         if is_merged {
             self.insert(now, endpoint, *value);
         }
@@ -105,7 +105,7 @@
         }
     }
 
-    fn has_room_for_ejection(&self) -> bool {
+    fn can_store_ejection(&self) -> bool {
         self.ejected().count() < MAX_OVERRIDES
     }
 
--- a/crates/fleet-health/tests/fault_reports.rs
+++ b/crates/fleet-health/tests/fault_reports.rs
@@ -199,8 +199,8 @@
     }
 }
 
-/// Guards against delayed, duplicated or reordered messages that make evidence appear younger than it is, or
-/// that keep a report in use after its lifetime.
+/// Checks that delayed, duplicated or reordered messages never make evidence appear younger than it is, and
+/// never keep a report in use after its lifetime.
 #[test]
 fn reports_never_appear_younger_than_their_evidence() {
     let mut oldest = Ticks::ZERO;
--- a/crates/fleet-health/tests/overrides.rs
+++ b/crates/fleet-health/tests/overrides.rs
@@ -30,7 +30,7 @@
 }
 
 proptest! {
-    /// Guards against balancers that differ permanently after overrides reached them in different orders.
+    /// Detects balancers that differ permanently after overrides reached them in different orders.
     #[test]
     fn the_same_overrides_in_any_order_converge(entries in prop::collection::vec(entry(), 0..40), seed: u64) {
         let mut register = OverrideRegister::default();
@@ -228,7 +228,7 @@
     }
 }
 
-/// Guards against overrides that stay on their side of a partition, and against datagrams that are sent
+/// Detects overrides that stay on their side of a partition, and datagrams that are sent
 /// although all balancers have the same overrides.
 #[test]
 fn registers_converge_soon_after_a_partition() {
--- a/crates/fleet-health/tests/wire_format.rs
+++ b/crates/fleet-health/tests/wire_format.rs
@@ -137,7 +137,7 @@
     overrides
 }
 
-/// Guards against different digests for the same overrides, with which balancers would exchange entries
+/// Detects different digests for the same overrides, with which balancers would exchange entries
 /// without end.
 #[test]
 fn overrides_have_the_same_digests_everywhere() {
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -18,7 +18,7 @@
 //! clock, which is at least *L* (1 + *d*) of true time, and *B* does not propose over it. A ballot that was
 //! promised before *A*'s accept is not accepted after it, because an accept request must carry exactly the
 //! ballot that was promised last. If *k* has restarted, it promises nothing for *S*, and *A*'s lease expires
-//! in that time. No step depends on what *A* or *B* believes about the other, or on a wall clock.
+//! in that time. No step depends on what *A* or *B* assumes about the other, or on a wall clock.
 //!
 //! *Fencing tokens never decrease* as long as one acceptor of each majority remembers the last token. If all
 //! acceptors lose their memory at once, tokens still do not decrease if the wall clock of the next holder,
--- a/crates/leases/src/messages.rs
+++ b/crates/leases/src/messages.rs
@@ -104,7 +104,7 @@
         ballot: Ballot,
     },
     /// Rejects a request: its ballot is too small or is not the one that was promised last, its duration is
-    /// too long, or the acceptor has no room for another lease.
+    /// too long, or the acceptor can store no other lease.
     Rejected {
         /// Identifies the lease.
         lease: LeaseId,
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -2,7 +2,7 @@
 //! share of the fleet's common limits.
 //!
 //! The state machines use no clock, socket or file, so that the program, the simulated fleets of the tests
-//! and the model checker all drive the same code. [`member_list`] holds what this process believes about the
+//! and the model checker all drive the same code. [`member_list`] holds this process's view of the
 //! other nodes, [`registry`] gives counts that are safe to rely on, and [`node`] drives both. The crate does
 //! not handle the load, health or routing of endpoints.
 
--- a/crates/membership/src/member_list.rs
+++ b/crates/membership/src/member_list.rs
@@ -1,4 +1,4 @@
-//! The member list: what this process believes about the other nodes. It follows SWIM, with suspicion and
+//! The member list: this process's view of the other nodes. It follows SWIM, with suspicion and
 //! refutation counts, and Lifeguard's three adaptations for a node that is itself slow.
 //!
 //! Sources: "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol" (Das, Gupta,
@@ -36,7 +36,7 @@
     pub zone: String,
     /// Counts the member's refutations.
     pub refutation_count: u32,
-    /// Holds the state that this process believes the member to be in.
+    /// Holds the member's state in this process's view.
     pub state: MemberState,
     /// Holds the time when the member entered that state.
     pub state_since: Timestamp,
@@ -68,7 +68,7 @@
     }
 }
 
-/// Holds the members of the fleet, as this process believes them to be.
+/// Holds the members of the fleet in this process's view.
 #[derive(Debug)]
 pub struct MemberList {
     protocol_period: Ticks,
@@ -178,7 +178,7 @@
         drawn
     }
 
-    /// Draws a random dead member. After a network partition the two sides believe each other dead, and
+    /// Draws a random dead member. After a network partition the two sides consider each other dead, and
     /// otherwise no node would contact the member again.
     pub fn sample_dead(&self, rng: &mut Pcg) -> Option<PeerAddress> {
         let is_dead = |(_, member): &(&String, &Member)| member.state == MemberState::Dead;
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -17,8 +17,8 @@
 /// Limits the chunks of a snapshot. Snapshots with more chunks are ignored; no fleet is that large.
 pub const MAX_SNAPSHOT_CHUNKS: u16 = 40;
 
-/// Describes what a node believes about a member. The order is part of the protocol: members up to `Suspect`
-/// count as present.
+/// Describes a member's state in the view of a node. The order is part of the protocol: members up to
+/// `Suspect` count as present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
     /// The member runs.
@@ -42,10 +42,10 @@
     pub address: SocketAddr,
     /// Names the member's zone.
     pub zone: String,
-    /// Counts the refutations of the member. Only the member itself raises it, to refute what others believe
+    /// Counts the refutations of the member. Only the member itself raises it, to refute what others report
     /// about it.
     pub refutation_count: u32,
-    /// Holds the state that the sender believes the member to be in.
+    /// Holds the member's state in the sender's view.
     pub state: MemberState,
 }
 
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -27,7 +27,7 @@
 use crate::registry::{MembershipLease, NodeCount, RegistryReplica, RegistryRules};
 pub use crate::settings::MembershipSettings;
 
-/// Limits the members that are told directly that this node leaves, in addition to the replicas.
+/// Limits the members that are notified directly when this node leaves, in addition to the replicas.
 const LEAVE_FANOUT: usize = 3;
 /// Marks an acknowledgement that answers no ping but carries part of a full state.
 const FULL_STATE_NONCE: Nonce = Nonce(0);
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Returns the member list, which holds what this node believes about the others.
+    /// Returns the member list, which holds this node's view of the others.
     pub fn member_list(&self) -> &MemberList {
         &self.member_list
     }
--- a/crates/membership/tests/simulated.rs
+++ b/crates/membership/tests/simulated.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// Guards against replicas that give incomplete snapshots after a common restart. Random faults produce this
+/// Detects replicas that give incomplete snapshots after a common restart. Random faults produce this
 /// case only with the 1,347th seed, so it has a test of its own.
 #[test]
 fn replicas_restarted_together_give_no_snapshots() {
--- a/crates/membership/tests/virtual_fleet/checks.rs
+++ b/crates/membership/tests/virtual_fleet/checks.rs
@@ -113,7 +113,7 @@
         })
     }
 
-    /// Returns how many running nodes believe that this member is in one of these states.
+    /// Returns how many running nodes consider this member to be in one of these states.
     pub fn count_observers(&self, member: usize, states: &[MemberState]) -> usize {
         let name = node_name(member);
         let nodes = self.nodes.iter().filter_map(|simulated| simulated.node.as_ref());
--- a/crates/quotas/src/quota_allocator.rs
+++ b/crates/quotas/src/quota_allocator.rs
@@ -19,7 +19,7 @@
 
 /// Limits the memory of an allocator, which grants nothing to further clients.
 const MAX_CLIENTS: usize = 4000;
-/// Sets after how many contact timeouts without a request a client may be forgotten to make room for another.
+/// Sets after how many contact timeouts without a request a client may be forgotten if the list is full.
 const LAST_REQUEST_TIMEOUT_FACTOR: f64 = 2.0;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -82,7 +82,7 @@
         Some(demands.iter().filter_map(allocate).collect())
     }
 
-    /// Records a request and returns true, if it is the latest of its client and there is room for it.
+    /// Records a request and returns true, if it is the latest of its client and the list is not full.
     fn accept_request(
         &mut self,
         now: Timestamp,
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Rejects a request. The client is told `retry_after` only if clients follow such advice, and no more
-    /// than their limit.
+    /// Rejects a request. The response carries `retry_after` only if clients follow such advice, and never
+    /// more than their limit.
     pub(super) fn reject(&mut self, id: RequestId, retry_after: Option<Ticks>) {
         let max_retry_after = self.settings.max_retry_after;
         let advice = retry_after.and_then(|wait| max_retry_after.map(|max| wait.min(max)));
