--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -9,15 +9,15 @@
 #[derive(Debug, Error)]
 pub enum WireError {
     /// A batch does not follow the protocol.
-    #[error("batch {batch}, byte {byte}: expected {expected}")]
+    #[error("batch {batch}, byte {byte}: {error}")]
     Malformed {
         /// The simulator's number for the batch, or 0 until it has been read.
         batch: u32,
         /// The offset in the frame at which the fault was found.
         byte: usize,
-        /// The valid input at this offset.
+        /// The error at that offset.
         #[source]
-        expected: Expected,
+        error: FrameError,
     },
     /// Reading standard input failed.
     #[error("standard input: could not be read: {0}")]
@@ -32,51 +32,51 @@
     },
 }
 
-/// The valid input at the position of a fault.
+/// States what is wrong at an offset of a frame.
 #[derive(Debug, Error)]
-pub enum Expected {
-    /// A field that is longer than the rest of the frame.
-    #[error("{field} (length in bytes: {length})")]
-    Field {
+pub enum FrameError {
+    /// The frame has fewer bytes left than the field needs.
+    #[error("expected {field} (length in bytes: {length})")]
+    Truncated {
         /// The name of the field.
         field: &'static str,
         /// Its length in bytes.
         length: usize,
     },
-    /// A finite number; the frame has an infinity or NaN.
-    #[error("a finite {0}")]
-    Finite(&'static str),
-    /// A value that the protocol defines or that an earlier record has set.
-    #[error("{valid}, not {found}, in the field before it")]
-    Valid {
-        /// A description of the valid values.
+    /// A number is infinite or NaN.
+    #[error("expected a finite {0}")]
+    NotFinite(&'static str),
+    /// A value is neither defined by the protocol nor set before.
+    #[error("expected {valid}, not {found}, in the field before it")]
+    InvalidValue {
+        /// What a valid value is.
         valid: &'static str,
-        /// The received value.
+        /// The value that was received.
         found: u64,
     },
-    /// The number of an existing slot for an endpoint list.
-    #[error("a list number under {slots}, not {found}, in the field before it")]
-    ListNumber {
+    /// The slot of an endpoint list is out of range.
+    #[error("expected a list number under {slots}, not {found}, in the field before it")]
+    ListOutOfRange {
         /// The number of slots.
         slots: u32,
-        /// The received number.
+        /// The number that was received.
         found: u32,
     },
-    /// A request class that the instance's settings define.
-    #[error("a request class of the settings in the record before it")]
-    KnownClass,
-    /// A frame length of at least the length of the batch header.
-    #[error("a length of {min} or more, not {found}")]
-    FrameLength {
+    /// The settings of the instance do not define the request class.
+    #[error("expected a request class of the settings in the record before it")]
+    UnknownClass,
+    /// The length is less than that of the batch header.
+    #[error("expected a length of {min} or more, not {found}")]
+    LengthTooSmall {
         /// The length of the header in bytes.
         min: usize,
-        /// The received length.
+        /// The length that was received.
         found: usize,
     },
-    /// The end of the frame; there are bytes after the last record.
-    #[error("the end of the frame")]
-    EndOfFrame,
-    /// Settings that can be decoded.
+    /// There are bytes after the last record.
+    #[error("expected the end of the frame")]
+    TrailingBytes,
+    /// The settings cannot be decoded.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,7 +1,7 @@
 //! The frames of the simulator's protocol: record codes, a checked reader for batches, and the reply frame.
 //! Numbers are big-endian.
 
-use crate::error::{Expected, WireError};
+use crate::error::{FrameError, WireError};
 
 /// The header of batches and replies: the batch's number (4 bytes) and the frame's length (4 bytes).
 pub const FRAME_HEADER_BYTES: usize = 8;
@@ -94,14 +94,14 @@
         BatchReader { bytes, position, batch }
     }
 
-    /// Creates an error at the current position.
-    pub fn error(&self, expected: impl Into<Expected>) -> WireError {
-        WireError::Malformed { batch: self.batch, byte: self.position, expected: expected.into() }
+    /// Returns an error at the current position.
+    pub fn error(&self, error: impl Into<FrameError>) -> WireError {
+        WireError::Malformed { batch: self.batch, byte: self.position, error: error.into() }
     }
 
     /// Creates an error for an invalid value in the field that was read last.
     pub fn invalid(&self, valid: &'static str, found: impl Into<u64>) -> WireError {
-        self.error(Expected::Valid { valid, found: found.into() })
+        self.error(FrameError::InvalidValue { valid, found: found.into() })
     }
 
     /// Returns whether the whole frame has been read.
@@ -112,7 +112,7 @@
     /// Reads `length` bytes.
     pub fn take_bytes(&mut self, length: usize, field: &'static str) -> Result<&'a [u8], WireError> {
         let end = self.position.checked_add(length).filter(|&end| end <= self.bytes.len());
-        let end = end.ok_or_else(|| self.error(Expected::Field { field, length }))?;
+        let end = end.ok_or_else(|| self.error(FrameError::Truncated { field, length }))?;
         let taken = &self.bytes[self.position..end];
         self.position = end;
         Ok(taken)
@@ -162,7 +162,7 @@
     }
 
     fn finite(&self, value: f64, field: &'static str) -> Result<f64, WireError> {
-        if value.is_finite() { Ok(value) } else { Err(self.error(Expected::Finite(field))) }
+        if value.is_finite() { Ok(value) } else { Err(self.error(FrameError::NotFinite(field))) }
     }
 }
 
