--- a/crates/balancer/src/admin/routes.rs
+++ b/crates/balancer/src/admin/routes.rs
@@ -127,7 +127,7 @@
     Ok(format!("{status}\n"))
 }
 
-/// Returns the body, or nothing if it is too long or broke off. Every call rejects an empty body.
+/// Returns the body, or an empty one if it is too long or incomplete. No call accepts an empty body.
 async fn read_body(request: Request) -> Bytes {
     let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await;
     body.map(|body| body.to_bytes()).unwrap_or_default()
@@ -138,7 +138,7 @@
 pub struct PermitRequest<'a> {
     /// Names the permit.
     pub name: &'a str,
-    /// Says for how long its lease is renewed.
+    /// Holds the time for which the permit's lease is to be renewed.
     pub renewal: Ticks,
 }
 
--- a/crates/balancer/src/runtime/log.rs
+++ b/crates/balancer/src/runtime/log.rs
@@ -1,5 +1,5 @@
-//! Writes the log to standard error without blocking callers. A separate thread writes the lines; their rate
-//! is limited, and the number of suppressed lines is logged.
+//! Writes the log to standard error on a separate thread, without blocking callers. Lines beyond the rate
+//! limit are counted, and the next line reports the count; lines beyond the queue are lost uncounted.
 
 use std::fmt::Arguments;
 use std::sync::mpsc::{SyncSender, sync_channel};
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -15,7 +15,7 @@
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
 
-/// Longer than any wait in these tests takes; reaching it fails the test.
+/// The longest time that a test waits for an event. A wait that reaches it fails the test.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Refuses connections: port 1 is privileged, and nothing listens on it.
@@ -35,7 +35,8 @@
         self.wait_until(line, |text| text.lines().any(|seen| seen == line));
     }
 
-    /// Waits for `count` lines with this prefix, for lines whose rest is not known in advance.
+    /// Waits until at least `count` lines start with this prefix, which serves lines whose rest is not known
+    /// in advance.
     pub fn wait_for_prefix(&self, prefix: &str, count: usize) {
         self.wait_until(prefix, |text| text.lines().filter(|seen| seen.starts_with(prefix)).count() >= count);
     }
@@ -96,8 +97,8 @@
     address
 }
 
-/// Responds as the request's path says. Records each complete request, and each connection that the balancer
-/// closes while the response is pending or the connection is idle.
+/// Responds as the request's path says. Records each complete request. For the paths `hang` and `stay` it
+/// also records that the balancer closed the connection.
 pub fn test_endpoint(name: &'static str, trace: &Trace) -> SocketAddr {
     let trace = trace.clone();
     listen(move |stream| {
@@ -243,7 +244,7 @@
         log.record(&line);
         line.strip_prefix("server: serving on ").map(|found| found.parse().unwrap())
     });
-    let address = address.expect("the address in the log");
+    let address = address.expect("the log has no address");
     thread::spawn(move || lines.for_each(|line| log_writer.record(&line)));
     Balancer { process, address, config, log }
 }
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -63,7 +63,7 @@
 /// Says what a balancer admits while it is disconnected from the allocator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DisconnectedPolicy {
-    /// It admits nothing.
+    /// It admits nothing once its allocations have expired.
     Strict,
     /// It admits this many requests per second.
     Floor(f64),
--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -1,6 +1,6 @@
-//! Explores the interleavings of two proposers and three acceptors up to a bounded depth: requests and
-//! responses are lost or late, proposals are abandoned, and an acceptor restarts. At most one proposer may
-//! hold the lease at a time. Each mutant lacks one rule and must violate this invariant.
+//! Explores the interleavings of two proposers and three acceptors up to a bounded depth: requests are
+//! lost or late, responses are lost, proposals are abandoned, and an acceptor restarts. At most one proposer
+//! may hold the lease at a time. Each mutant lacks one rule and must violate this invariant.
 
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -17,7 +17,8 @@
 const PROPOSERS: usize = 2;
 const DURATION: Ticks = Ticks(1000);
 const STEP: Ticks = Ticks(600);
-/// Caps the ages in an abstract state, in ticks: acceptors above this age behave the same.
+/// Caps the ages of acceptors and of accepted leases in an abstract state, and the remaining time of observed
+/// leases, in ticks. Beyond the cap they behave the same.
 const MAX_AGE: i64 = 2000;
 /// Limits the states explored in each case, unless the environment sets another limit.
 const DEFAULT_MAX_STATES: usize = 20_000;
@@ -28,7 +29,7 @@
     None,
     /// An acceptor considers an accepted lease expired almost at once.
     ExpiresEarly,
-    /// A lease counts from the arrival of the last accept response.
+    /// A proposer counts the duration of its lease from the arrival of the last accept response.
     CountsFromResponse,
     /// An acceptor makes promises right after a restart.
     SkipsGracePeriod,
@@ -47,7 +48,7 @@
     requests_in_flight: BTreeMap<(usize, usize), Message>,
     /// Holds the accept requests of abandoned proposals, each with its acceptor.
     stray_accepts: Vec<(usize, Message)>,
-    /// Holds when leases expire if they count from the response, as one mutant does.
+    /// Holds when each proposer's lease expires under [`Mutant::CountsFromResponse`].
     held_from_response: [Option<Timestamp>; PROPOSERS],
     restart_count: usize,
     proposal_count: usize,
@@ -150,8 +151,8 @@
         }
     }
 
-    /// Returns the proposer's rules. For one mutant, each proposer knows a single acceptor, which differs
-    /// between them.
+    /// Returns the proposer's rules. Under [`Mutant::TrustsOneAcceptor`], each proposer knows a single
+    /// acceptor, which differs between them.
     fn proposer_rules(&self, proposer: usize) -> LeaseRules {
         let mut rules = self.rules();
         if self.mutant == Mutant::TrustsOneAcceptor {
--- a/crates/process-tests/src/addresses/tests.rs
+++ b/crates/process-tests/src/addresses/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Guards against two test clusters on one machine that receive each other's connections.
+/// Detects two test clusters on one machine that receive each other's connections.
 #[test]
 fn two_clusters_never_share_a_block() {
     let (one, other) = (AddressBlock::claim().unwrap(), AddressBlock::claim().unwrap());
--- a/crates/process-tests/src/checkers/fleet_limits/tests.rs
+++ b/crates/process-tests/src/checkers/fleet_limits/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 
-/// Guards against a checker that misses an overshoot, or reports one that disconnected balancers are allowed.
+/// Detects a checker that misses an overshoot, or reports one that disconnected balancers are allowed.
 #[test]
 fn overshoot_is_found_unless_disconnected_balancers_explain_it() {
     let rules = |floor: &str, gap: Micros, killed: &[&str]| {
--- a/crates/process-tests/src/checkers/member_counts/tests.rs
+++ b/crates/process-tests/src/checkers/member_counts/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Guards against a checker that misses a wrong count: three balancers run undisturbed, and one counts two
+/// Detects a checker that misses a wrong count: three balancers run undisturbed, and one counts two
 /// members.
 #[test]
 fn undercount_is_found_once_all_members_have_settled() {
--- a/crates/process-tests/src/checkers/operator_overrides/tests.rs
+++ b/crates/process-tests/src/checkers/operator_overrides/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Guards against a checker that misses attempts at an ejected endpoint, or reports those of a balancer that
+/// Detects a checker that misses attempts at an ejected endpoint, or reports those of a balancer that
 /// could not know of the ejection.
 #[test]
 fn attempt_at_a_fleet_ejected_endpoint_is_found() {
--- a/crates/process-tests/src/checkers/permits/tests.rs
+++ b/crates/process-tests/src/checkers/permits/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Guards against a checker that misses two holders at a time, or a token that decreases.
+/// Detects a checker that misses two holders at a time, or a token that decreases.
 #[test]
 fn second_holder_and_decreasing_token_are_found() {
     let rules = |slots: u16, events: &[(Micros, &str, u64, Micros)]| {
--- a/crates/process-tests/src/checkers/tests.rs
+++ b/crates/process-tests/src/checkers/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Guards against a violation that follows from a faulty path: of two overlapping faults on it, only one has
+/// Detects a violation that follows from a faulty path: of two overlapping faults on it, only one has
 /// ended.
 #[test]
 fn path_is_healed_when_its_last_fault_ends() {
--- a/crates/process-tests/src/fault_proxy/stream.rs
+++ b/crates/process-tests/src/fault_proxy/stream.rs
@@ -23,13 +23,13 @@
 const RETRANSMIT_DELAY: Micros = 200 * MS;
 /// The number of arrival times that are kept if nothing reads them.
 const MAX_ARRIVAL_MARKS: usize = 4096;
-/// The number of writes per second of a path with limited bandwidth.
+/// The number of writes per second on a path with limited bandwidth.
 const WRITES_PER_SECOND: f64 = 50.0;
 
 /// The end of one direction of a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum StreamEnd {
-    /// The sender closed its side, after all its bytes.
+    /// The direction ended without a reset: the sender closed its side, or the path truncated it.
     Finished,
     /// The connection was reset.
     Reset,
@@ -188,7 +188,8 @@
         }
     }
 
-    /// Writes a chunk; if the path breaks the connection, writes only the first half and returns the end.
+    /// Writes a chunk. If the path resets or truncates the connection, writes the first half and returns
+    /// which.
     async fn write_chunk(
         &self,
         to: &TcpStream,
--- a/crates/process-tests/src/fault_proxy/tests.rs
+++ b/crates/process-tests/src/fault_proxy/tests.rs
@@ -29,7 +29,7 @@
     TcpStream::connect(proxy.addresses.proxy("n0", "u0")).await
 }
 
-/// Guards against a relay that reorders or changes bytes of a connection, which TCP never does on any
+/// Detects a relay that reorders or changes bytes of a connection, which TCP never does on any
 /// network.
 #[tokio::test]
 async fn connection_keeps_its_bytes_under_impairments() {
@@ -99,7 +99,7 @@
     assert_eq!(read.map_err(|error| error.kind()), Err(io::ErrorKind::ConnectionReset));
 }
 
-/// Guards against a relay that accepts no connections after a partition because callers filled its backlog
+/// Detects a relay that accepts no connections after a partition because callers filled its backlog
 /// before it did so itself.
 #[tokio::test]
 async fn relay_accepts_after_partitions_with_many_callers() {
--- a/crates/process-tests/src/generator/tests.rs
+++ b/crates/process-tests/src/generator/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Guards against a seed whose scenario is invalid, and against one that generates different scenarios.
+/// Detects a seed whose scenario is invalid, and one that generates different scenarios.
 #[test]
 fn every_seed_generates_one_valid_scenario() {
     for seed in 0..2000 {
--- a/crates/process-tests/src/history/tests.rs
+++ b/crates/process-tests/src/history/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Guards against a history that a crash of the test cluster truncated and that is then read as complete, or
+/// Detects a history that a crash of the test cluster truncated and that is then read as complete, or
 /// not at all.
 #[test]
 fn truncated_history_is_read_and_marked() {
@@ -27,7 +27,7 @@
     assert_eq!(read(corrupted.as_bytes()), Err(true));
 }
 
-/// Guards against a renamed event that changes the format: kept histories could no longer be checked.
+/// Detects a renamed event that changes the format: kept histories could no longer be checked.
 #[test]
 fn event_names_in_the_history_are_stable() {
     let lines = [
--- a/crates/process-tests/src/recovery_measurement/tests.rs
+++ b/crates/process-tests/src/recovery_measurement/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Guards against an interval that is too narrow for few runs. For 20 values, statistical tables give the
+/// Detects an interval that is too narrow for few runs. For 20 values, statistical tables give the
 /// sixth and the fifteenth as its bounds.
 #[test]
 fn median_has_its_confidence_interval() {
--- a/crates/process-tests/src/scenario/tests.rs
+++ b/crates/process-tests/src/scenario/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 
-/// Guards against a scenario whose fault is misread and never happens: each mistake must be an error that
+/// Detects a scenario whose fault is misread and never happens: each mistake must be an error that
 /// says what is accepted.
 #[test]
 fn invalid_scenarios_are_rejected_with_the_accepted_values() {
--- a/crates/process-tests/tests/limits.rs
+++ b/crates/process-tests/tests/limits.rs
@@ -21,7 +21,7 @@
     checkers::check_history(&checked, &report.history).into_iter().map(|violation| violation.rule).collect()
 }
 
-/// Guards against a checker that no fleet can fail.
+/// Detects a checker that no fleet can fail.
 #[test]
 fn fleet_that_exceeds_its_limit_is_found() {
     let over_limit = BTreeSet::from(["over-limit"]);
--- a/crates/process-tests/tests/members.rs
+++ b/crates/process-tests/tests/members.rs
@@ -26,7 +26,7 @@
     })
 }
 
-/// Guards against a member count without effect. The settings state one balancer and twelve run, so without
+/// Detects a member count without effect. The settings state one balancer and twelve run, so without
 /// the count each sends a warming endpoint as much work as it can take in all. With the count no run violates
 /// a rule; the scenario itself is among the kept ones.
 #[test]
--- a/crates/process-tests/tests/recovery.rs
+++ b/crates/process-tests/tests/recovery.rs
@@ -69,7 +69,7 @@
     }
 }
 
-/// Guards against balancers that reject requests although the endpoints are idle: endpoints that had little
+/// Detects balancers that reject requests although the endpoints are idle: endpoints that had little
 /// load before they restarted count as able to sustain little.
 #[test]
 fn lightly_loaded_upstreams_are_used_while_they_warm() {
--- a/crates/process-tests/tests/scenarios.rs
+++ b/crates/process-tests/tests/scenarios.rs
@@ -13,7 +13,7 @@
 /// The timeout of every wait; each of them normally takes much less.
 const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Guards against waiting a minute for a program that rejected its configuration and exited.
+/// Detects a wait of a minute for a program that rejected its configuration and exited.
 #[test]
 fn program_that_exits_before_it_is_ready_is_an_error_at_once() {
     let directory = tempfile::tempdir().unwrap();
@@ -30,7 +30,7 @@
     Path::new("/proc").join(process.to_string()).exists()
 }
 
-/// Guards against processes that outlive a test that panicked.
+/// Detects processes that outlive a test that panicked.
 #[test]
 fn process_is_killed_and_reaped_when_its_test_panics() {
     let directory = tempfile::tempdir().unwrap();
@@ -55,7 +55,7 @@
         .collect()
 }
 
-/// Guards against balancers that outlive a test cluster that is killed, and against a truncated history that
+/// Detects balancers that outlive a test cluster that is killed, and a truncated history that
 /// is checked as if it were complete.
 #[test]
 fn killed_cluster_ends_its_processes_and_leaves_a_history() {
--- a/crates/process-tests/tests/verdicts.rs
+++ b/crates/process-tests/tests/verdicts.rs
@@ -6,7 +6,7 @@
 use doorproxy_process_tests::scenario::{Fault, FaultKind, Scenario};
 use doorproxy_test_servers::events::Event;
 
-/// Guards against a checker that no fleet can fail: all paths between the balancers are partitioned, and the
+/// Detects a checker that no fleet can fail: all paths between the balancers are partitioned, and the
 /// fault events that would excuse them are removed from the history.
 #[test]
 fn fleet_that_misses_an_override_is_found() {
--- a/crates/quotas/src/quota_client.rs
+++ b/crates/quotas/src/quota_client.rs
@@ -1,8 +1,9 @@
 //! A node's client of the fleet's limits. Request threads spend from its balances without waiting for the
 //! network, and the network thread refills them.
 //!
-//! Invariants: no request is admitted against an expired allocation, whose lifetime counts from before it was
-//! requested, or against the fallback rate while the allocator is in contact.
+//! Invariants: no request is admitted against an expired allocation, whose lifetime counts from the time at
+//! which the request for it was sent. No request is admitted against the fallback rate while the allocator is
+//! in contact.
 
 mod local_balance;
 mod shard_contact;
@@ -52,7 +53,7 @@
     pub demand: f64,
     /// Holds the time since the last allocation was requested.
     pub allocation_age: Option<Ticks>,
-    /// Says whether an allocator has answered within the contact timeout.
+    /// Says whether a request that was sent within the contact timeout was answered by a grant.
     pub is_connected: bool,
     /// Counts the requests admitted so far.
     pub admitted: u64,
@@ -137,6 +138,9 @@
     }
 
     /// Admits or rejects one request under a limit. All requests under an unknown limit are admitted.
+    ///
+    /// A client that has lost its allocator admits nothing between the expiry of its allocations and the end
+    /// of the contact timeout. After that it admits at the fallback rate.
     pub fn spend(&mut self, now: Timestamp, limit: LimitId) -> SpendOutcome {
         let now = self.advance_time(now);
         let shard = self.rules.shard_of(limit);
--- a/crates/quotas/src/quota_client/local_balance.rs
+++ b/crates/quotas/src/quota_client/local_balance.rs
@@ -47,7 +47,7 @@
     /// admitted.
     deferred: f64,
     deferred_updated_at: Timestamp,
-    /// Holds the requests saved of the fallback rate while disconnected.
+    /// Holds the requests that the fallback rate allows now.
     fallback_balance: f64,
     fallback_updated_at: Timestamp,
     admitted: u64,
--- a/crates/quotas/src/rules.rs
+++ b/crates/quotas/src/rules.rs
@@ -21,7 +21,7 @@
     /// Holds the number of requests that may accumulate while fewer arrive, at least 1.
     pub burst: f64,
     /// Holds the rate in requests per second that each disconnected node may admit. A node without one admits
-    /// none.
+    /// nothing once its allocations have expired.
     pub fallback_rate: Option<f64>,
 }
 
--- a/crates/simulation/src/kernel.rs
+++ b/crates/simulation/src/kernel.rs
@@ -56,9 +56,9 @@
 pub enum Event {
     /// A timer of a task expires.
     Wake(Waker),
-    /// A task continues that became ready while its process was stalled.
+    /// A task that became ready while its process was stalled continues.
     Resume(u64),
-    /// A segment may arrive at this socket.
+    /// The next segment for this socket may be due.
     Arrival(SocketId),
 }
 
--- a/crates/simulation/src/upstream.rs
+++ b/crates/simulation/src/upstream.rs
@@ -24,7 +24,7 @@
 pub const KEEPALIVE_TIMEOUT: Micros = 6 * SECOND;
 /// The longest time in the queue. A request that would wait longer is declined.
 const MAX_QUEUE_TIME: Micros = 1500 * MS;
-/// The maximum number of connections while the endpoint has the fault `Few`.
+/// The maximum number of connections while the endpoint has the fault `LimitConnections`.
 const REDUCED_CONNECTION_LIMIT: usize = 2;
 /// The ratio of work that a request with a cached key needs.
 const CACHED_WORK_RATIO: f64 = 0.5;
--- a/crates/simulation/tests/runs.rs
+++ b/crates/simulation/tests/runs.rs
@@ -68,7 +68,7 @@
     assert_eq!(broken, Vec::<String>::new());
 }
 
-/// Guards against the return of fixed bugs. Each scenario is shrunk from a seed that broke a rule.
+/// Checks that fixed bugs do not return. Each scenario is shrunk from a seed that broke a rule.
 #[test]
 fn kept_scenarios_break_no_rule() {
     let broken = map_on_all_cores(&load_scenarios("kept"), |(name, scenario)| {
@@ -160,7 +160,7 @@
     both.filter(|[committed, actual]| committed != actual).collect()
 }
 
-/// Guards against unintended changes of behaviour. The sums cover the numbers of events alone, such as times,
+/// Detects unintended changes of behaviour. The sums cover the numbers of events alone, such as times,
 /// hosts and statuses, and not the text of log lines or traces. A change that is meant to alter behaviour
 /// rewrites the file with `cargo run --release -p doorproxy-simulation -- run --seeds 0..2000 --sums FILE`,
 /// where `FILE` is `crates/simulation/tests/sums.txt`.
@@ -181,7 +181,7 @@
     assert_eq!(changed, Vec::<[String; 2]>::new());
 }
 
-/// Guards against a checker that misses violations: it must find every mutant, and shrinking must leave few
+/// Detects a checker that misses violations: it must find every mutant, and shrinking must leave few
 /// faults.
 #[test]
 fn each_mutant_is_found() {
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -133,7 +133,7 @@
     let position = reply.borrow().position();
     let Err(panic) = catch_unwind(AssertUnwindSafe(call)) else { return };
     let text = panic.downcast_ref::<String>().map(String::as_str);
-    let text = text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("panic without a message");
+    let text = text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("panic without a text");
     let mut reply = reply.borrow_mut();
     reply.truncate(position);
     reply.record(outgoing::CRASHED, instance).append_text(text);
--- a/crates/test-servers/src/http/tests.rs
+++ b/crates/test-servers/src/http/tests.rs
@@ -17,7 +17,7 @@
     }
 }
 
-/// Guards against a test client that takes a truncated response for a complete one, which would hide a lost
+/// Detects a test client that takes a truncated response for a complete one, which would hide a lost
 /// request.
 #[tokio::test]
 async fn truncated_message_is_an_error() {
--- a/src/endpoint/health.rs
+++ b/src/endpoint/health.rs
@@ -62,8 +62,8 @@
         self.probe_after
     }
 
-    /// Returns whether the endpoint is unhealthy and also reported by peers. Many balancers would probe it at
-    /// the same time, so each failed probe request counts.
+    /// Returns whether the endpoint is unhealthy and also reported by peers. Each failed probe request
+    /// ejects such an endpoint again, because many balancers probe it at the same time.
     pub fn is_ejected_by_peers_too(&self) -> bool {
         !self.is_healthy() && self.peer_reported
     }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -16,16 +16,18 @@
 /// A request is hopeless if its remaining time is less than this multiple of its expected duration in the
 /// fastest pool.
 const HOPELESS_FACTOR: f64 = 1.5;
-/// Step by which a timely answer raises the admission probability, factor by which a late answer, a rejection
-/// or a timeout lowers it, and its lower bound.
+/// The step by which a timely answer raises the admission probability.
 const ADMISSION_INCREASE: f64 = 0.02;
+/// The factor by which a late answer, a rejection or a timeout lowers the admission probability.
 const ADMISSION_DECREASE_FACTOR: f64 = 0.85;
+/// The lower bound of the admission probability.
 const MIN_ADMISSION_PROBABILITY: f64 = 0.1;
 /// Upper bound of a cost estimate, as a multiple of the class's timeout. A larger request is never answered
 /// in time, and an absurd estimate would distort every sum that it enters.
 const MAX_COST_TIMEOUTS: f64 = 100.0;
-/// A tenant's quota is counted over a window of at least this many requests. With each balancer's share
-/// rounded up every second, hundreds of balancers would together admit several times the quota.
+/// A tenant's quota is counted over a window of at least this many requests. If each balancer
+/// rounded its share up every second, hundreds of them would together treat several times the quota as
+/// within it.
 const MIN_QUOTA_REQUESTS: f64 = 8.0;
 /// The shortest retry-after and the width of its random range, as fractions of the wait that the fleet's
 /// limits suggest.
@@ -34,8 +36,8 @@
 
 /// State of the admission rules.
 pub(super) struct AdmissionState {
-    /// The fraction of requests that is admitted while no loads are known and only late answers, rejections
-    /// and timeouts show overload, in 0..=1.
+    /// The probability, in 0..=1, that a request is admitted. It applies only while no loads are known, so
+    /// that late answers, rejections and timeouts alone show overload.
     probability: f64,
     /// When a request last had to wait or was shed.
     pub(super) overloaded_at: Option<Timestamp>,
@@ -94,7 +96,8 @@
         }
     }
 
-    /// Adds the request's cost, latency objective and priority weight.
+    /// Builds the request with its cost, latency objective and priority weight, and counts it against its
+    /// tenant's quota.
     fn build_request(&mut self, now: Timestamp, incoming: IncomingRequest) -> Request {
         let class = self.settings.class(incoming.class);
         let cost_estimate = incoming.cost_estimate.unwrap_or_else(|| self.statistics.mean_cost());
@@ -134,8 +137,8 @@
         fastest.is_some_and(|service_time| service_time * cost * HOPELESS_FACTOR > time_left.as_secs_f64())
     }
 
-    /// Decides at random whether to shed the request, where neither load reports nor a queue of this balancer
-    /// show how full endpoints are. Answering some requests in time is better than answering all of them
+    /// Decides at random whether to shed the request if neither load reports nor a queue of this balancer
+    /// shows how full the endpoints are. Answering some requests in time is better than answering all of them
     /// late.
     fn is_shed(&mut self) -> bool {
         let is_load_unknown = self.uses_whole_pools() && !self.probes_load();
--- a/src/policy/concurrency.rs
+++ b/src/policy/concurrency.rs
@@ -59,8 +59,8 @@
         last.idle_since + pacing_interval(busy_time, self.pool_limit_share(pool), self.settings.max_timeout())
     }
 
-    /// Returns the same for probe requests to one endpoint. Without this pause, the probe requests of
-    /// hundreds of balancers alone would keep the endpoint unhealthy.
+    /// Returns when the endpoint may receive its next probe request if its ejection is over. Without this
+    /// pause, the probe requests of hundreds of balancers alone would keep the endpoint unhealthy.
     pub(super) fn probe_paced_until(&self, endpoint: &Endpoint) -> Timestamp {
         let busy_time = self.typical_duration(endpoint.pool).max(endpoint.last_duration);
         let share = self.limit_share(endpoint);
--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -138,9 +138,9 @@
         base.mul_f64(f64::from(factor)).min(max_wait)
     }
 
-    /// Handles a fault report by peers. The endpoint goes on probation unless this balancer got a newer
-    /// answer from it or the remaining endpoints are too few. Peers have probed the endpoint already, so this
-    /// balancer's probe request follows later.
+    /// Handles a fault report by peers. The endpoint is ejected until `probe_after` and then on probation,
+    /// unless this balancer got a newer answer from it or the remaining endpoints are too few. Peers have
+    /// probed the endpoint already, so this balancer's probe request follows later.
     pub(super) fn consider_fault_report(&mut self, now: Timestamp, id: EndpointId, since: Timestamp) {
         let Some(index) = self.endpoints.index_of(id) else { return };
         let endpoint = &self.endpoints[index];
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -3,9 +3,11 @@
 //! No effect may happen twice: a request that may have run is sent again only if a repeat is harmless or will
 //! be recognized and dropped.
 //!
-//! Three checks can refuse a retry: `may_retry` by the state of the request, `may_repeat` by what earlier
-//! attempts may have done, and the queue for lack of capacity. `may_repeat` is called for each endpoint by
-//! `is_eligible` in [`super::selection`], and again before the first byte by `may_begin_attempt`.
+//! `may_retry` checks the state of the request, and `is_eligible` checks each endpoint: not tried before,
+//! capacity, and a harmless repeat. A request that found no endpoint waits in the queue only if none of its
+//! attempts may have run.
+//!
+//! A hedged request is a further attempt that is sent while an earlier one is still unanswered.
 
 use super::Balancer;
 use crate::effects::Effects;
@@ -14,7 +16,7 @@
 use crate::request::{Attempt, Request};
 use crate::settings::{DedupScope, Idempotency};
 
-/// The most attempts of a request, the first included.
+/// The most attempts of a request, the first included, whatever the settings allow.
 const MAX_ATTEMPTS: usize = 3;
 /// The shortest retry-after and the width of its random range, as fractions of the 90th percentile of attempt
 /// durations.
@@ -43,6 +45,7 @@
         })
     }
 
+    /// Checks again, before the first byte of an attempt is sent, whether its repeat is harmless.
     pub(super) fn may_begin_attempt(&self, now: Timestamp, id: RequestId, attempt: AttemptNumber) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let number = request.attempts.len().min(usize::from(attempt.0));
@@ -72,8 +75,8 @@
         self.finish_unanswered(now, id);
     }
 
-    /// Schedules a hedged request unless the class is non-idempotent. `attempt_timeout` is the timeout of the
-    /// first attempt.
+    /// Sets the timer of a hedged request unless the class is non-idempotent. `on_request_timer` checks
+    /// whether hedging is enabled. `attempt_timeout` is the timeout of the attempt that was just started.
     pub(super) fn schedule_hedge(&mut self, now: Timestamp, id: RequestId, attempt_timeout: Option<Ticks>) {
         let class = self.settings.class(self.request(id).incoming.class);
         if class.idempotency == Idempotency::NonIdempotent {
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -250,7 +250,8 @@
             && self.is_eligible(now, request, index)
     }
 
-    /// Returns whether the request may be the next probe request of an endpoint on probation.
+    /// Returns whether the request may be the next probe request of an endpoint on probation. One is sent at
+    /// a time, so that a faulty endpoint fails one request and not several.
     fn may_probe_with(&self, now: Timestamp, request: &Request, index: EndpointIndex) -> bool {
         let endpoint = &self.endpoints[index];
         let due_at = endpoint.health.probe_after().max(self.probe_paced_until(endpoint));
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -101,7 +101,8 @@
     pub balancer_index: u32,
     /// The factor on the weight of requests beyond their tenant's quota.
     pub over_quota_factor: f64,
-    /// The most attempts of one request, the first included.
+    /// The configured maximum of attempts, the first included. Values above `MAX_ATTEMPTS` in
+    /// `policy/retries.rs` have no effect.
     pub max_attempts: u16,
     /// Whether a hedged request may be sent in addition to a slow attempt.
     pub hedging_enabled: bool,
