--- a/crates/balancer/src/admin.rs
+++ b/crates/balancer/src/admin.rs
@@ -100,13 +100,21 @@
     let text = match store.read() {
         Ok(text) => text,
         Err(error) => {
-            log_line!(*runtime, "manual override: could not read the stored overrides: {error}");
+            log_line!(
+                *runtime,
+                "manual override: could not read the stored overrides; check the ejections and repeat them: \
+                 {error}"
+            );
             return ManualOverrides::default();
         }
     };
     let decoded = ManualOverrides::decode(&text);
     if decoded.damaged_lines > 0 {
-        log_line!(*runtime, "manual override: ignored {} damaged lines", decoded.damaged_lines);
+        log_line!(
+            *runtime,
+            "manual override: ignored {} damaged lines; check the ejections and repeat them",
+            decoded.damaged_lines
+        );
     }
     decoded.overrides
 }
--- a/crates/balancer/src/admin/listener.rs
+++ b/crates/balancer/src/admin/listener.rs
@@ -35,7 +35,7 @@
         let stream = match listener.accept().await {
             Ok(stream) => stream,
             Err(error) => {
-                log_line!(runtime, "admin: accept failed: {error}");
+                log_line!(runtime, "admin: a connection could not be accepted, trying again: {error}");
                 runtime.sleep(ACCEPT_RETRY_INTERVAL).await;
                 continue;
             }
--- a/crates/balancer/src/http/client_connections.rs
+++ b/crates/balancer/src/http/client_connections.rs
@@ -117,7 +117,7 @@
     fn detect_stall(&self) {
         let stall = lock(&self.stall_detector).tick(self.runtime.now());
         if let Some(stall) = stall {
-            log_line!(self.runtime, "server: process was stalled for {} ms", stall.0 / 10);
+            log_line!(self.runtime, "server: process was stopped or got no CPU time for {} ms", stall.0 / 10);
         }
     }
 
@@ -155,7 +155,10 @@
                 Ok(stream) => return stream,
                 Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(error) => {
-                    log_line!(self.runtime, "server: accept failed: {error}");
+                    log_line!(
+                        self.runtime,
+                        "server: a connection could not be accepted, trying again: {error}"
+                    );
                     self.close_idle(1);
                     self.runtime.sleep(ACCEPT_RETRY_INTERVAL).await;
                 }
--- a/crates/balancer/src/http/dispatch.rs
+++ b/crates/balancer/src/http/dispatch.rs
@@ -128,7 +128,11 @@
                 NextStep::Fail => return failed_response(),
             },
             () = &mut decision_timeout => {
-                log_line!(*runtime, "server: request {} got no decision before its deadline", request_id.0);
+                log_line!(
+                    *runtime,
+                    "server: request {} got no decision before its deadline, which is a defect",
+                    request_id.0
+                );
                 return failed_response();
             }
             () = &mut grace_end, if !is_grace_over => {
--- a/crates/balancer/src/http/server.rs
+++ b/crates/balancer/src/http/server.rs
@@ -118,7 +118,10 @@
         let learned_state = self.components.dispatcher.snapshot(now);
         let text = snapshot::encode(self.config.settings_hash, now, &learned_state);
         if let Err(error) = siblings.save_snapshot(&text) {
-            log_line!(self.runtime, "server: learned state could not be saved for the successor: {error}");
+            log_line!(
+                self.runtime,
+                "server: learned state could not be saved, the successor starts without it: {error}"
+            );
         }
     }
 
@@ -270,7 +273,7 @@
         }
     }
     drop(listener);
-    log_line!(*runtime, "server: stopped with {} connections open", connections.count());
+    log_line!(*runtime, "server: stopped, {} connections were still open", connections.count());
 }
 
 /// Starts the shutdown and returns the time of the next check, which is now.
--- a/crates/cli/src/fault_reports.rs
+++ b/crates/cli/src/fault_reports.rs
@@ -250,7 +250,8 @@
                 let (name, age_s) = (&endpoint.name, (now - evidence_at).as_secs_f64());
                 log_line!(
                     self.runtime,
-                    "fault reports: {name} reported faulty, evidence {age_s:.1} s old; on probation"
+                    "fault reports: {name} reported faulty, evidence {age_s:.1} s old; ejected until its next \
+                     probe request"
                 );
             }
         }
--- a/crates/cli/src/peer_thread/control_loop.rs
+++ b/crates/cli/src/peer_thread/control_loop.rs
@@ -136,7 +136,8 @@
         let settings = self.members.settings();
         log_line!(
             self.runtime,
-            "members: no answer from seeds {:?} or registry replicas {:?}",
+            "members: no answer from seeds {:?} or registry replicas {:?}; check the addresses, the firewall \
+             and the key file",
             settings.seeds,
             settings.registry_replicas
         );
--- a/crates/cli/tests/gone.rs
+++ b/crates/cli/tests/gone.rs
@@ -205,7 +205,9 @@
     // All deadlines pass, counted from the last request.
     thread::sleep(Duration::from_millis(900));
     balancer.signal("CONT");
-    balancer.log.wait_until("the stall", |log| log.contains("server: process was stalled for"));
+    balancer
+        .log
+        .wait_until("the stall", |log| log.contains("server: process was stopped or got no CPU time for"));
     balancer.signal("STOP");
     thread::sleep(Duration::from_millis(300));
     balancer.signal("CONT");
--- a/crates/sidecar/src/server.rs
+++ b/crates/sidecar/src/server.rs
@@ -172,7 +172,7 @@
             continue;
         }
         if open_connections == 0 || is_late {
-            log_line!(*runtime, "server: stopped with {open_connections} open connections");
+            log_line!(*runtime, "server: stopped, {open_connections} connections were still open");
             return;
         }
         connections.close_all();
--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -124,7 +124,11 @@
             self.ejected.push(index);
         }
         let id = self.endpoints[index].id.0;
-        let line = format!("endpoint {id} ejected for {} ms: {}", wait.as_millis(), cause.as_str());
+        let line = format!(
+            "endpoint {id} ejected, first probe request in {} ms: {}",
+            wait.as_millis(),
+            cause.as_str()
+        );
         self.effects.log(&line);
     }
 
--- a/tests/decisions/discovery.rs
+++ b/tests/decisions/discovery.rs
@@ -45,7 +45,7 @@
         request 12 of class 0 arrives | send request 12 to 1
         request 13 of class 0 arrives | send request 13 to 2
         -- one endpoint refuses a connection
-        attempt 0 of request 13 at 2: ConnectFailed | log: endpoint 2 ejected for 205 ms: connect failed | send request 13 to 1
+        attempt 0 of request 13 at 2: ConnectFailed | log: endpoint 2 ejected, first probe request in 205 ms: connect failed | send request 13 to 1
         request 14 of class 0 arrives
         request 15 of class 0 arrives
         request 16 of class 0 arrives
@@ -61,7 +61,7 @@
         request 12 of class 0 arrives | reject request 12, retry after a while
         request 13 of class 0 arrives | reject request 13, retry after a while
         -- one endpoint refuses a connection
-        attempt 0 of request 13 at 1: ConnectFailed | log: endpoint 1 ejected for 190 ms: connect failed
+        attempt 0 of request 13 at 1: ConnectFailed | log: endpoint 1 ejected, first probe request in 190 ms: connect failed
         request 14 of class 0 arrives | reject request 14, retry after a while
         request 15 of class 0 arrives | reject request 15, retry after a while
         request 16 of class 0 arrives | reject request 16, retry after a while
--- a/tests/decisions/dispatcher.rs
+++ b/tests/decisions/dispatcher.rs
@@ -117,7 +117,7 @@
     trace.line(format_args!("after its client has gone: {}", may_begin(Timestamp(5_000))));
     expect![[r#"
         first attempt may begin, early and late: [true, true]
-          log: endpoint 14 ejected for 743 ms: connection reset
+          log: endpoint 14 ejected, first probe request in 743 ms: connection reset
         repeat may begin, within the window of 1 s and after it: [true, false]
         after its endpoint moved to another zone: false
         after its client has gone: false
@@ -154,7 +154,7 @@
     expect![[r#"
         cancelled: Some(())
         answer after that: false
-          log: endpoint 10 ejected for 573 ms: connection reset
+          log: endpoint 10 ejected, first probe request in 573 ms: connection reset
         connection reset: false
         next Some(Fail)
         and then None
--- a/tests/decisions/outliers.rs
+++ b/tests/decisions/outliers.rs
@@ -34,7 +34,7 @@
             request 3 of class 2 arrives | send request 3 to 1
             the timer of request 1 fires | send request 1 to 1
             attempt 1 of request 1 at 1: Succeeded | cancel attempt 0 of request 1
-            attempt 0 of request 1 at 2: Cancelled | log: endpoint 2 ejected for 152 ms: no response
+            attempt 0 of request 1 at 2: Cancelled | log: endpoint 2 ejected, first probe request in 152 ms: no response
         "#]],
     );
 }
@@ -55,7 +55,7 @@
         &harness,
         expect![[r#"
             request 1 of class 0 arrives | send request 1 to 2
-            attempt 0 of request 1 at 2: ErrorResponse | log: endpoint 2 ejected for 162 ms: error response | send request 1 to 1
+            attempt 0 of request 1 at 2: ErrorResponse | log: endpoint 2 ejected, first probe request in 162 ms: error response | send request 1 to 1
             attempt 1 of request 1 at 1: Succeeded
             -- after the wait, a non-idempotent request is not used as a probe request
             request 2 of class 2 arrives | send request 2 to 1
@@ -99,9 +99,9 @@
     let ejections = trace_of(&harness);
     let ejections = ejections.split('\n').filter(|line| line.contains("ejected") || line.starts_with("--"));
     expect![[r#"
-        attempt 0 of request 5 at 13: ConnectionReset | log: endpoint 13 ejected for 190 ms: connection reset | send request 5 to 11
+        attempt 0 of request 5 at 13: ConnectionReset | log: endpoint 13 ejected, first probe request in 190 ms: connection reset | send request 5 to 11
         -- endpoint 12 fails all its requests
-        attempt 0 of request 76 at 12: ErrorResponse | log: endpoint 12 ejected for 187 ms: error response | send request 76 to 13"#]].assert_eq(&ejections.collect::<Vec<_>>().join("\n"));
+        attempt 0 of request 76 at 12: ErrorResponse | log: endpoint 12 ejected, first probe request in 187 ms: error response | send request 76 to 13"#]].assert_eq(&ejections.collect::<Vec<_>>().join("\n"));
 }
 
 /// Guards against rejecting idempotent requests while an endpoint that fails only some of its requests is
@@ -124,7 +124,7 @@
         &harness,
         expect![[r#"
             request 1 of class 0 arrives | send request 1 to 2
-            attempt 0 of request 1 at 2: ErrorResponse | log: endpoint 2 ejected for 242 ms: error response | send request 1 to 1
+            attempt 0 of request 1 at 2: ErrorResponse | log: endpoint 2 ejected, first probe request in 242 ms: error response | send request 1 to 1
             attempt 1 of request 1 at 1: Succeeded
             request 2 of class 2 arrives | send request 2 to 1
             request 3 of class 2 arrives | send request 3 to 1
@@ -153,7 +153,7 @@
             request 1 of class 0 arrives | send request 1 to 2
             request 2 of class 0 arrives | send request 2 to 3
             attempt 0 of request 2 at 3: Succeeded
-            attempt 0 of request 1 at 2: TimedOut | log: endpoint 2 ejected for 490 ms: no response | reject request 1
+            attempt 0 of request 1 at 2: TimedOut | log: endpoint 2 ejected, first probe request in 490 ms: no response | reject request 1
         "#]],
     );
 }
@@ -174,13 +174,13 @@
         &harness,
         expect![[r#"
             request 0 of class 0 arrives | send request 0 to 2
-            attempt 0 of request 0 at 2: ErrorResponse | log: endpoint 2 ejected for 162 ms: error response | send request 0 to 1
+            attempt 0 of request 0 at 2: ErrorResponse | log: endpoint 2 ejected, first probe request in 162 ms: error response | send request 0 to 1
             attempt 1 of request 0 at 1: Succeeded
             request 10 of class 0 arrives | send request 10 to 2
-            attempt 0 of request 10 at 2: ErrorResponse | log: endpoint 2 ejected for 304 ms: error response | send request 10 to 1
+            attempt 0 of request 10 at 2: ErrorResponse | log: endpoint 2 ejected, first probe request in 304 ms: error response | send request 10 to 1
             attempt 1 of request 10 at 1: Succeeded
             request 20 of class 0 arrives | send request 20 to 2
-            attempt 0 of request 20 at 2: ErrorResponse | log: endpoint 2 ejected for 481 ms: error response | send request 20 to 1
+            attempt 0 of request 20 at 2: ErrorResponse | log: endpoint 2 ejected, first probe request in 481 ms: error response | send request 20 to 1
             attempt 1 of request 20 at 1: Succeeded
         "#]],
     );
@@ -222,7 +222,7 @@
             -- later an idempotent request probes it
             request 3 of class 0 arrives | send request 3 to 1
             peers report 2 as faulty by evidence from 0 ms ago
-            attempt 0 of request 3 at 1: ErrorResponse | log: endpoint 1 ejected for 186 ms: error response | send request 3 to 3
+            attempt 0 of request 3 at 1: ErrorResponse | log: endpoint 1 ejected, first probe request in 186 ms: error response | send request 3 to 3
             -- the probe request failed; reports by peers delay the next one
             attempt 0 of request 3 at 3: Succeeded | cancel attempt 1 of request 3
             peers report 1 as faulty by evidence from 10 ms ago
--- a/tests/decisions/queue.rs
+++ b/tests/decisions/queue.rs
@@ -29,7 +29,7 @@
             -- free capacity goes to the highest weight
             attempt 0 of request 1 at 1: Succeeded | send request 12 to 1
             -- no retry under overload
-            attempt 0 of request 2 at 1: ConnectionReset | log: endpoint 1 ejected for 185 ms: connection reset | reject request 2, retry after a while | send request 4 to 1
+            attempt 0 of request 2 at 1: ConnectionReset | log: endpoint 1 ejected, first probe request in 185 ms: connection reset | reject request 2, retry after a while | send request 4 to 1
         "#]],
     );
 }
@@ -99,7 +99,7 @@
             attempt 0 of request 3 at 3: Succeeded
             -- endpoint 3 is ejected and 2 replaces it
             request 4 of class 0 arrives | send request 4 to 3
-            attempt 0 of request 4 at 3: ConnectFailed | log: endpoint 3 ejected for 61 ms: connect failed | send request 4 to 2
+            attempt 0 of request 4 at 3: ConnectFailed | log: endpoint 3 ejected, first probe request in 61 ms: connect failed | send request 4 to 2
             attempt 1 of request 4 at 2: Succeeded
             request 5 of class 0 arrives | send request 5 to 3
             attempt 0 of request 5 at 3: Succeeded | close idle connections to 2
--- a/tests/decisions/retries.rs
+++ b/tests/decisions/retries.rs
@@ -19,9 +19,9 @@
         &harness,
         expect![[r#"
             request 1 of class 2 arrives | send request 1 to 2
-            attempt 0 of request 1 at 2: ConnectionReset | log: endpoint 2 ejected for 162 ms: connection reset | fail request 1
+            attempt 0 of request 1 at 2: ConnectionReset | log: endpoint 2 ejected, first probe request in 162 ms: connection reset | fail request 1
             request 2 of class 2 arrives | send request 2 to 3
-            attempt 0 of request 2 at 3: ConnectFailed | log: endpoint 3 ejected for 152 ms: connect failed | send request 2 to 1
+            attempt 0 of request 2 at 3: ConnectFailed | log: endpoint 3 ejected, first probe request in 152 ms: connect failed | send request 2 to 1
         "#]],
     );
 }
@@ -39,9 +39,9 @@
         &harness,
         expect![[r#"
             request 1 of class 1 arrives | send request 1 to 2
-            attempt 0 of request 1 at 2: ErrorResponse | log: endpoint 2 ejected for 162 ms: error response | send request 1 to 4
+            attempt 0 of request 1 at 2: ErrorResponse | log: endpoint 2 ejected, first probe request in 162 ms: error response | send request 1 to 4
             -- after the window, the next error is final
-            attempt 1 of request 1 at 4: ErrorResponse | log: endpoint 4 ejected for 225 ms: error response | fail request 1
+            attempt 1 of request 1 at 4: ErrorResponse | log: endpoint 4 ejected, first probe request in 225 ms: error response | fail request 1
         "#]],
     );
 }
@@ -65,7 +65,7 @@
             request 1 of class 1 arrives | send request 1 to 2
             request 2 of class 1 arrives | send request 2 to 3
             -- endpoint 4 is replaced by an instance in the other zone
-            attempt 0 of request 1 at 2: ErrorResponse | log: endpoint 2 ejected for 163 ms: error response | fail request 1
+            attempt 0 of request 1 at 2: ErrorResponse | log: endpoint 2 ejected, first probe request in 163 ms: error response | fail request 1
             -- so are 1 and 3; request 2 may have run at 3
             attempt 0 of request 2 at 3: ConnectionReset | send request 2 to 4
         "#]],
@@ -99,8 +99,8 @@
         &harness,
         expect![[r#"
             request 1 of class 0 arrives | send request 1 to 2
-            attempt 0 of request 1 at 2: ErrorResponse | log: endpoint 2 ejected for 162 ms: error response | send request 1 to 3
-            attempt 1 of request 1 at 3: ErrorResponse | log: endpoint 3 ejected for 225 ms: error response | send request 1 to 5
+            attempt 0 of request 1 at 2: ErrorResponse | log: endpoint 2 ejected, first probe request in 162 ms: error response | send request 1 to 3
+            attempt 1 of request 1 at 3: ErrorResponse | log: endpoint 3 ejected, first probe request in 225 ms: error response | send request 1 to 5
             attempt 2 of request 1 at 5: ErrorResponse | reject request 1
         "#]],
     );
