--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -124,7 +124,11 @@
             self.ejected.push(index);
         }
         let id = self.endpoints[index].id.0;
-        let line = format!("endpoint {id} ejected for {} ms: {}", wait.as_millis(), cause.as_str());
+        let line = format!(
+            "endpoint {id} ejected, first probe request in {} ms: {}",
+            wait.as_millis(),
+            cause.as_str()
+        );
         self.effects.log(&line);
     }
 
@@ -138,9 +142,9 @@
         base.mul_f64(f64::from(factor)).min(max_wait)
     }
 
-    /// Handles a fault report by peers. The endpoint goes on probation unless this balancer got a newer
-    /// answer from it or the remaining endpoints are too few. Peers have probed the endpoint already, so this
-    /// balancer's probe request follows later.
+    /// Handles a fault report by peers. The endpoint is ejected until `probe_after` and then on probation,
+    /// unless this balancer got a newer answer from it or the remaining endpoints are too few. Peers have
+    /// probed the endpoint already, so this balancer's probe request follows later.
     pub(super) fn consider_fault_report(&mut self, now: Timestamp, id: EndpointId, since: Timestamp) {
         let Some(index) = self.endpoints.index_of(id) else { return };
         let endpoint = &self.endpoints[index];
